--- a/libs/daemon/ruddersaddle/generations.py
+++ b/libs/daemon/ruddersaddle/generations.py
@@ -71,7 +71,7 @@
         if isinstance(slot, Failure):
             self.counts.refused += 1
             return slot
-        view.budget.note_first()
+        view.budget.record_first_attempt()
         generation = Generation(self, request, view, slot)
         generation.expected = view.note_granted(cost)
         try:
@@ -154,7 +154,7 @@
         self.tries += 1
         if failure.code is Code.NO_UPSTREAM:
             return False
-        return failure.step is Step.CONNECT or self.view.budget.take()
+        return failure.step is Step.CONNECT or self.view.budget.try_spend()
 
     def _no_engine(self) -> Failure:
         detail = "no engine is open"
@@ -174,7 +174,7 @@
         load.limit.begin()
         load.circuit.begin()
         self._note_sent(choice.missing_tokens, prompt.tokens)
-        self._sent = load.note_sent(choice.missing_tokens, self.keys_of(self.version))
+        self._sent = load.record_sent(choice.missing_tokens, self.keys_of(self.version))
         engine = self.view.engine_by_address[load.address]
         self._fetch(choice, found, engine)
         opened = engine.generate(self._engine_request())
@@ -193,7 +193,7 @@
         """Take an engine's word for its weight version, which its lagged report does not have."""
         if failure.code is not Code.OTHER_VERSION:
             return
-        load.note_version(failure.detail)
+        load.record_version(failure.detail)
         if self.tokens == 0:
             self.version = ""
             self._tried.discard(load.address)
@@ -220,7 +220,7 @@
             if choice is not None:
                 return choice
             waited_s = time.monotonic() - began
-            comes_free = any(load.may_come_free for load in able)
+            comes_free = any(load.may_accept_work for load in able)
             if not comes_free and self.tokens == 0 and waited_s > NO_ENGINE_S:
                 return None
             eventlet.sleep(BUSY_PAUSE_S)
--- a/libs/daemon/ruddersaddle/orders.py
+++ b/libs/daemon/ruddersaddle/orders.py
@@ -160,7 +160,7 @@
         done = view.engine_by_address[address].order(order)
         self._ordered_at.pop(address, None)
         if done is True and address in view.load_by_address:
-            view.load_by_address[address].note_version(order.version)
+            view.load_by_address[address].record_version(order.version)
         if isinstance(done, Failure):
             logger.warning("Order to %s failed. %s", address, done.detail)
         elif done:
--- a/libs/daemon/ruddersaddle/pools.py
+++ b/libs/daemon/ruddersaddle/pools.py
@@ -51,14 +51,14 @@
 
     def capacity(self) -> int:
         """Return how many calls the pool may have in flight from this host."""
-        usable = [load for load in self.loads() if load.may_come_free]
+        usable = [load for load in self.loads() if load.may_accept_work]
         return sum(int(load.limit.limit) for load in usable)
 
     def is_open(self) -> bool:
         """Return whether the engines' predicted backlog lets more work go to them."""
         if self.pool.kind is PoolKind.SERVICE or self.backlog_max_s <= 0:
             return True
-        usable = [load for load in self.loads() if load.may_come_free]
+        usable = [load for load in self.loads() if load.may_accept_work]
         default = self.settings.number("contexts.prefill_tokens_s")
         speed = sum(load.prefill_tokens_s(default) for load in usable)
         hosts = self.chooser.hosts
@@ -127,7 +127,7 @@
         while self._is_member(load):
             report = client.load()
             if not isinstance(report, Failure):
-                load.take_report(report)
+                load.apply_report(report)
             eventlet.sleep(self.settings.number("routing.load_poll_s"))
 
     def _follow_cache(self, load: Load, client: EngineClient) -> None:
@@ -143,12 +143,12 @@
                     logger.info("Cache events of %s have a gap.", load.upstream)
                     epoch, expected = self._resync(load, client)
                     break
-                load.take_event(event.stored, event.key)
+                load.apply_event(event.stored, event.key)
                 expected += 1
 
     def _resync(self, load: Load, client: EngineClient) -> tuple[str, int]:
         listing = client.listing()
-        load.drop_cache()
+        load.clear_cache()
         if isinstance(listing, Failure):
             eventlet.sleep(EVENT_RETRY_S)
             return "", 0
--- a/libs/daemon/ruddersaddle/prefetches.py
+++ b/libs/daemon/ruddersaddle/prefetches.py
@@ -84,7 +84,7 @@
         """Return the engines that the event's template is at home on and that take work."""
         homes = view.homes_by_template.get(event.template, ())
         loads = [load for load in view.loads() if load.upstream in homes]
-        return [load for load in loads if load.may_come_free and load.version]
+        return [load for load in loads if load.may_accept_work and load.version]
 
     def _warm(
         self, event: Event, workspace: WorkspaceId, text: str, view: PoolView, load: Load
--- a/libs/daemon/ruddersaddle/service_calls.py
+++ b/libs/daemon/ruddersaddle/service_calls.py
@@ -39,14 +39,14 @@
         view = self.pools.by_id.get(call.pool)
         if view is None:
             return _none_open(call.pool)
-        view.budget.note_first()
+        view.budget.record_first_attempt()
         answer: Answer = _none_open(call.pool)
         tried: set[str] = set()
         while True:
             load = self._next(view, tried)
             if load is None:
                 return answer
-            if tried and not view.budget.take():
+            if tried and not view.budget.try_spend():
                 return answer
             tried.add(load.address)
             answer = self._call(load, call)
--- a/libs/routing/ruddersaddle_routing/choices.py
+++ b/libs/routing/ruddersaddle_routing/choices.py
@@ -137,7 +137,7 @@
         """Return the cheaper of computing and of fetching what the upstream's cache lacks."""
         keys = prompt.keys_of(load.version)
         # Blocks on their way may be gone again; where they are kept, a fetch is the surer way.
-        cached = load.count_certain(keys) if kept.blocks else load.count_cached(keys)
+        cached = load.count_confirmed(keys) if kept.blocks else load.count_cached(keys)
         new = len(keys) - cached
         speed = load.prefill_tokens_s(self.prefill_tokens_s)
         wait_s = load.waiting_tokens(self.hosts) / speed
--- a/libs/routing/ruddersaddle_routing/limits.py
+++ b/libs/routing/ruddersaddle_routing/limits.py
@@ -7,9 +7,9 @@
 class AdaptiveLimit:
     """How many calls one upstream may have in flight from this host."""
 
-    def __init__(self, start: int, highest: int) -> None:
+    def __init__(self, start: int, maximum: int) -> None:
         self.limit = float(start)
-        self.highest = float(highest)
+        self.maximum = float(maximum)
         self.in_flight = 0
 
     @property
@@ -28,4 +28,4 @@
         if overloaded:
             self.limit = max(LOWEST, self.limit * DECREASE)
         elif was_full:
-            self.limit = min(self.highest, self.limit + 1.0 / self.limit)
+            self.limit = min(self.maximum, self.limit + 1.0 / self.limit)
--- a/libs/routing/ruddersaddle_routing/loads.py
+++ b/libs/routing/ruddersaddle_routing/loads.py
@@ -55,16 +55,16 @@
         self._pending: dict[BlockKey, float] = {}
 
     @property
-    def may_come_free(self) -> bool:
+    def may_accept_work(self) -> bool:
         """Whether new work may be sent now, or once a call has ended."""
         return not self.leaving and self.circuit.may_pass()
 
     @property
     def is_open(self) -> bool:
         """Whether new work may be sent now."""
-        return self.may_come_free and self.limit.has_room
+        return self.may_accept_work and self.limit.has_room
 
-    def take_report(self, report: LoadReport) -> None:
+    def apply_report(self, report: LoadReport) -> None:
         """Take a new report, which was measured `age_s` seconds ago."""
         self.report = report
         self._reported_at = time.monotonic()
@@ -75,12 +75,12 @@
         while self._sent and self._sent[0].at < oldest:
             self._sent.popleft()
 
-    def note_version(self, version: str) -> None:
+    def record_version(self, version: str) -> None:
         """Take the engine's own word for its weight version; older reports don't undo it."""
         self.version = version
         self._version_at = time.monotonic()
 
-    def note_sent(self, tokens: int, keys: list[BlockKey]) -> Sent:
+    def record_sent(self, tokens: int, keys: list[BlockKey]) -> Sent:
         """Count a request that was sent, with the blocks that it will leave in the cache."""
         sent = Sent(tokens)
         self._sent.append(sent)
@@ -120,7 +120,7 @@
             count += 1
         return count
 
-    def count_certain(self, keys: list[BlockKey]) -> int:
+    def count_confirmed(self, keys: list[BlockKey]) -> int:
         """Return how many blocks from the chain's start the engine has said are cached."""
         count = 0
         for key in keys:
@@ -138,12 +138,12 @@
         del self._pending[key]
         return False
 
-    def drop_cache(self) -> None:
+    def clear_cache(self) -> None:
         """Forget the cache, after a gap in events or a restart of the engine."""
         self.cached.clear()
         self._pending.clear()
 
-    def take_event(self, stored: bool, key: BlockKey) -> None:
+    def apply_event(self, stored: bool, key: BlockKey) -> None:
         """Take one cache event."""
         self._pending.pop(key, None)
         if stored:
--- a/libs/routing/ruddersaddle_routing/queues.py
+++ b/libs/routing/ruddersaddle_routing/queues.py
@@ -24,7 +24,7 @@
 
     def __init__(self) -> None:
         self.signal: Signal = Signal()
-        self.left = False
+        self.abandoned = False
 
 
 class FairQueue:
@@ -41,7 +41,7 @@
         self.is_open = is_open
         self.in_use = 0
         self.mean_hold_s = HOLD_START_S
-        self.virtual = 0.0
+        self.virtual_time = 0.0
         self.finish_by_workspace: dict[WorkspaceId, float] = {}
         self.waiting_by_workspace: dict[WorkspaceId, int] = {}
         self.held_by_workspace: dict[WorkspaceId, int] = {}
@@ -71,7 +71,7 @@
 
     def acquire(self, workspace: WorkspaceId, weight: float, cost: float, timeout_s: float) -> bool:
         """Wait for a slot; return False if none came in time. A granted slot is to be released."""
-        tag = max(self.virtual, self.finish_by_workspace.get(workspace, 0.0))
+        tag = max(self.virtual_time, self.finish_by_workspace.get(workspace, 0.0))
         self.finish_by_workspace[workspace] = tag + cost / weight
         if not self._heap and self.has_room:
             self._grant(tag)
@@ -86,7 +86,7 @@
             self._hold(workspace, int(item.signal.ready()))
             return item.signal.ready()
         finally:
-            item.left = True
+            item.abandoned = True
             self._wait(workspace, -1)
 
     def count_of(self, workspace: WorkspaceId) -> int:
@@ -109,13 +109,13 @@
 
     def _grant(self, tag: float) -> None:
         self.in_use += 1
-        self.virtual = max(self.virtual, tag)
+        self.virtual_time = max(self.virtual_time, tag)
 
     def wake(self) -> None:
         """Give free slots to the requests with the smallest tags."""
         while self._heap and self.has_room:
             tag, _, item = heapq.heappop(self._heap)
-            if item.left or item.signal.ready():
+            if item.abandoned or item.signal.ready():
                 continue
             self._grant(tag)
             item.signal.send(True)
@@ -123,7 +123,7 @@
             self._forget_idle()
 
     def _forget_idle(self) -> None:
-        ahead = {k: tag for k, tag in self.finish_by_workspace.items() if tag > self.virtual}
+        ahead = {k: tag for k, tag in self.finish_by_workspace.items() if tag > self.virtual_time}
         self.finish_by_workspace = ahead
 
 
--- a/libs/routing/ruddersaddle_routing/retries.py
+++ b/libs/routing/ruddersaddle_routing/retries.py
@@ -12,21 +12,21 @@
 
     def __init__(self, share: float) -> None:
         self.share = share
-        self.most = BUDGET_MAX
-        self.saved = BUDGET_MAX
+        self.balance_max = BUDGET_MAX
+        self.balance = BUDGET_MAX
         self.spent = 0
         self.denied = 0
 
-    def note_first(self) -> None:
+    def record_first_attempt(self) -> None:
         """Count a first try."""
-        self.saved = min(self.most, self.saved + self.share)
+        self.balance = min(self.balance_max, self.balance + self.share)
 
-    def take(self) -> bool:
+    def try_spend(self) -> bool:
         """Take one retry if the budget has one."""
-        if self.saved < 1.0:
+        if self.balance < 1.0:
             self.denied += 1
             return False
-        self.saved -= 1.0
+        self.balance -= 1.0
         self.spent += 1
         return True
 
--- a/libs/routing/ruddersaddle_routing/tests/test_choices.py
+++ b/libs/routing/ruddersaddle_routing/tests/test_choices.py
@@ -19,7 +19,7 @@
 def new_load(name: str, waiting: int = 0, cached: int = 0) -> Load:
     limit, circuit = AdaptiveLimit(8, 64), Circuit(1, 60.0)
     load = Load(UpstreamId(name), name, HallId("glerar"), limit, circuit)
-    load.take_report(LoadReport(waiting, 0, "v1", SPEED, 0.0))
+    load.apply_report(LoadReport(waiting, 0, "v1", SPEED, 0.0))
     load.cached.update(KEYS[:cached])
     return load
 
--- a/libs/routing/ruddersaddle_routing/tests/test_loads.py
+++ b/libs/routing/ruddersaddle_routing/tests/test_loads.py
@@ -26,38 +26,38 @@
         self.load = new_load()
 
     def report(self, waiting: int, age_s: float) -> None:
-        self.load.take_report(LoadReport(waiting, 0, "v1", 8000.0, age_s))
+        self.load.apply_report(LoadReport(waiting, 0, "v1", 8000.0, age_s))
 
     def test_what_was_sent_since_the_report_is_added_and_what_was_computed_taken_off(self):
         self.report(5000, 0.5)
         self.now += 0.1
-        self.load.note_sent(600, [])
+        self.load.record_sent(600, [])
         self.assertAlmostEqual(self.load.waiting_tokens(hosts=1), 5000 + 600 - 0.6 * 8000)
 
     def test_other_hosts_are_taken_to_send_at_this_ones_rate(self):
         self.report(9000, 0.5)
         self.now += 0.1
-        self.load.note_sent(600, [])
+        self.load.record_sent(600, [])
         others = 2 * 600 / RATE_WINDOW_S * 0.6
         expected = 9000 + 600 + others - 0.6 * 8000
         self.assertAlmostEqual(self.load.waiting_tokens(hosts=3), expected)
 
     def test_what_was_sent_before_the_measure_is_in_the_report(self):
-        self.load.note_sent(40, []).finish()
+        self.load.record_sent(40, []).finish()
         self.now += RATE_WINDOW_S + 1
         self.report(9000, 0.5)
         self.assertAlmostEqual(self.load.waiting_tokens(hosts=3), 9000 - 0.5 * 8000)
 
     def test_what_this_host_knows_to_wait_is_the_least_that_waits(self):
         self.report(0, 0.5)
-        sent = self.load.note_sent(700, [])
+        sent = self.load.record_sent(700, [])
         self.assertEqual(self.load.waiting_tokens(hosts=6), 700)
         sent.finish()
         self.assertEqual(self.load.waiting_tokens(hosts=6), 0)
 
     def test_a_report_from_before_a_version_was_learned_does_not_undo_it(self):
         self.report(0, 0.5)
-        self.load.note_version("v2")
+        self.load.record_version("v2")
         self.now += 0.2
         self.report(0, 0.5)
         self.assertEqual(self.load.version, "v2")
@@ -72,17 +72,17 @@
 
     def test_blocks_on_their_way_count_as_cached_for_a_while(self):
         keys = [BlockKey("a"), BlockKey("b")]
-        self.load.note_sent(10, keys)
+        self.load.record_sent(10, keys)
         self.assertEqual(self.load.count_cached(keys), 2)
-        self.assertEqual(self.load.count_certain(keys), 0)
+        self.assertEqual(self.load.count_confirmed(keys), 0)
         self.now += PENDING_S + 1
         self.assertEqual(self.load.count_cached(keys), 0)
 
     def test_events_tell_what_is_cached(self):
         key = BlockKey("a")
-        self.load.take_event(True, key)
-        self.assertEqual(self.load.count_certain([key]), 1)
-        self.load.take_event(False, key)
+        self.load.apply_event(True, key)
+        self.assertEqual(self.load.count_confirmed([key]), 1)
+        self.load.apply_event(False, key)
         self.assertEqual(self.load.count_cached([key]), 0)
 
 
--- a/libs/routing/ruddersaddle_routing/tests/test_queues.py
+++ b/libs/routing/ruddersaddle_routing/tests/test_queues.py
@@ -114,11 +114,11 @@
 
     def test_retries_are_a_share_of_first_tries(self):
         budget = RetryBudget(0.1)
-        taken = sum(budget.take() for _ in range(100))
+        taken = sum(budget.try_spend() for _ in range(100))
         self.assertEqual(taken, BUDGET_MAX)
         for _ in range(30):
-            budget.note_first()
-        self.assertEqual(sum(budget.take() for _ in range(100)), 3)
+            budget.record_first_attempt()
+        self.assertEqual(sum(budget.try_spend() for _ in range(100)), 3)
 
 
 if __name__ == "__main__":
--- a/libs/serving/ruddersaddle_serving/entry_hosts.py
+++ b/libs/serving/ruddersaddle_serving/entry_hosts.py
@@ -305,7 +305,7 @@
             self.trackers.keep_only(set(self.upstreams.by_id))
             self.trackers.close_expired()
             slack = self.settings.number("bounds.retry_slack") * BUDGET_SHARE
-            self.budget.most = max(1.0, slack / self.neighbours.hosts.count)
+            self.budget.balance_max = max(1.0, slack / self.neighbours.hosts.count)
             slept_at = clocks.now_s()
             eventlet.sleep(HOUSEKEEPING_S)
             self.standstills.check(slept_at, HOUSEKEEPING_S)
--- a/libs/serving/ruddersaddle_serving/forwarders.py
+++ b/libs/serving/ruddersaddle_serving/forwarders.py
@@ -132,7 +132,7 @@
         self.pool = self.forwarder.placement.pick_pool(self.request.route)
         if self.pool is None:
             return Failure(Code.NO_UPSTREAM, Step.ADMIT, self.request.route.name, "no target")
-        self.forwarder.budget.note_first()
+        self.forwarder.budget.record_first_attempt()
         while True:
             result = self._try_once(self.request.head.last_event)
             if not isinstance(result, Failure):
@@ -338,7 +338,7 @@
             return False
         if self.request.remaining_s < LEAST_REMAINING_S:
             return False
-        return self.forwarder.budget.take()
+        return self.forwarder.budget.try_spend()
 
     def _end_attempt(self, failed: bool | None, word: str) -> None:
         self.trail.tries.append(word)
--- a/libs/standins/ruddersaddle_standins/capacities.py
+++ b/libs/standins/ruddersaddle_standins/capacities.py
@@ -148,7 +148,7 @@
     """Return a load that knows so many cached blocks."""
     load = new_load("engine")
     for number in range(count):
-        load.take_event(True, BlockKey(f"{number:032x}"))
+        load.apply_event(True, BlockKey(f"{number:032x}"))
     return load
 
 
