--- a/libs/daemon/ruddersaddle/contexts.py
+++ b/libs/daemon/ruddersaddle/contexts.py
@@ -13,7 +13,7 @@
 from ruddersaddle_base.failures import Failure
 from ruddersaddle_base.ids import BlockKey, RequestId, StoreId
 from ruddersaddle_base.settings import Settings
-from ruddersaddle_routing.choices import Kept
+from ruddersaddle_routing.choices import StoredChain
 from ruddersaddle_routing.rendezvous import rank_names
 from ruddersaddle_state.configurations import Configuration
 from ruddersaddle_state.entries import Store
@@ -41,7 +41,7 @@
 class Found(msgspec.Struct, frozen=True):
     """Where a chain is kept and what that means for a choice."""
 
-    kept: Kept
+    kept: StoredChain
     store: StoreClient | None = None
     bytes_per_block: int = 0
 
@@ -84,20 +84,20 @@
     def find(self, keys: list[BlockKey]) -> Found:
         """Return what is kept of a chain; finding nothing is no failure."""
         if not self.enabled or len(keys) < self.min_blocks:
-            return Found(Kept())
+            return Found(StoredChain())
         store = self._home(keys)
         if store is None:
-            return Found(Kept())
+            return Found(StoredChain())
         count = store.find(keys)
         if isinstance(count, Failure):
             store.link.fail()
-            return Found(Kept())
+            return Found(StoredChain())
         if count.count == 0:
-            return Found(Kept(), store)
+            return Found(StoredChain(), store)
         self.counts.found += 1
         per_block = count.bytes // count.count
         per_block_s = per_block / max(1.0, store.link.rate_bytes_s)
-        kept = Kept(count.count, per_block_s, store.link.estimate_s(0))
+        kept = StoredChain(count.count, per_block_s, store.link.estimate_s(0))
         return Found(kept, store, per_block)
 
     def fetch(self, found: Found, engine: EngineClient, chain: list[BlockKey], cached: int) -> int:
--- a/libs/daemon/ruddersaddle/generations.py
+++ b/libs/daemon/ruddersaddle/generations.py
@@ -9,8 +9,8 @@
 from ruddersaddle_base.failures import Code, Failure, Ran, Step
 from ruddersaddle_base.histograms import Histograms, Measure
 from ruddersaddle_base.ids import BlockKey
-from ruddersaddle_routing.choices import Choice, Kept, Prompt
-from ruddersaddle_routing.loads import Load, Sent
+from ruddersaddle_routing.choices import Choice, Prompt, StoredChain
+from ruddersaddle_routing.loads import Load, SentRequest
 from ruddersaddle_state.configurations import Configuration
 from ruddersaddle_state.entries import Model
 from ruddersaddle_upstreams.chains import block_keys, context_salt, count_tokens
@@ -116,7 +116,7 @@
         self._keys_by_version: dict[str, list[BlockKey]] = {}
         self._tried: set[str] = set()
         self._slow = False
-        self._sent: Sent | None = None
+        self._sent: SentRequest | None = None
 
     def keys_of(self, version: str) -> list[BlockKey]:
         """Return the prompt's chain for a weight version."""
@@ -207,7 +207,7 @@
         versions = [load.version for load in self.view.loads() if load.version]
         return wanted if wanted in versions or not versions else versions[0]
 
-    def _choose(self, prompt: Prompt, kept: Kept) -> Choice | None:
+    def _choose(self, prompt: Prompt, kept: StoredChain) -> Choice | None:
         """Choose among the engines of one weight version, waiting while all are at their limit."""
         began = time.monotonic()
         while time.monotonic() < self._deadline:
--- a/libs/routing/ruddersaddle_routing/choices.py
+++ b/libs/routing/ruddersaddle_routing/choices.py
@@ -11,7 +11,7 @@
 from ruddersaddle_routing.loads import Load
 from ruddersaddle_routing.rendezvous import rank_names
 
-HOME_S = 0.1
+HOME_BONUS_S = 0.1
 """By what the prefix's first choice by rendezvous hash may be slower, in seconds.
 
 Hosts that see a new prefix at the same time so agree on one engine to compute it.
@@ -63,7 +63,7 @@
     keys_of: Callable[[str], list[BlockKey]]
 
 
-class Kept(msgspec.Struct, frozen=True):
+class StoredChain(msgspec.Struct, frozen=True):
     """What a store host holds of a chain, and the predicted seconds to fetch each block."""
 
     blocks: int = 0
@@ -95,7 +95,7 @@
         """Return a chooser with the policy of that name."""
         return cls(POLICY_BY_NAME[name](), prefill_tokens_s)
 
-    def choose(self, loads: Sequence[Load], prompt: Prompt, kept: Kept) -> Choice | None:
+    def choose(self, loads: Sequence[Load], prompt: Prompt, kept: StoredChain) -> Choice | None:
         """Return the choice among the loads that are open, or None."""
         found = [load for load in loads if load.is_open]
         if not found:
@@ -111,7 +111,7 @@
                 return self._choose_predicted(found, prompt, kept)
         return self._plan(load, prompt, kept)
 
-    def _choose_predicted(self, loads: list[Load], prompt: Prompt, kept: Kept) -> Choice:
+    def _choose_predicted(self, loads: list[Load], prompt: Prompt, kept: StoredChain) -> Choice:
         """Return the plan with the lowest predicted first token and work together.
 
         Work counts, since tokens that are computed again delay all who come after.
@@ -126,14 +126,14 @@
         speed = plan.load.prefill_tokens_s(self.prefill_tokens_s)
         work_s = plan.missing_tokens / speed
         cache_s = plan.new_blocks * BLOCK_TOKENS / speed
-        bonus_s = HOME_S if plan.load.upstream in homes else 0.0
+        bonus_s = HOME_BONUS_S if plan.load.upstream in homes else 0.0
         return plan.predicted_s + WORK_WEIGHT * work_s + CACHE_WEIGHT * cache_s - bonus_s
 
     def _first_by_hash(self, loads: list[Load], prompt: Prompt) -> Load:
         by_id = {load.upstream: load for load in loads}
         return by_id[rank_names(_root(loads[0], prompt), by_id)[0]]
 
-    def _plan(self, load: Load, prompt: Prompt, kept: Kept) -> Choice:
+    def _plan(self, load: Load, prompt: Prompt, kept: StoredChain) -> Choice:
         """Return the cheaper of computing and of fetching what the upstream's cache lacks."""
         keys = prompt.keys_of(load.version)
         # Blocks on their way may be gone again; where they are kept, a fetch is the surer way.
--- a/libs/routing/ruddersaddle_routing/limits.py
+++ b/libs/routing/ruddersaddle_routing/limits.py
@@ -1,7 +1,7 @@
 """Adaptive concurrency limits: additive increase, multiplicative decrease, per upstream."""
 
-DECREASE = 0.7
-LOWEST = 2.0
+DECREASE_FACTOR = 0.7
+LIMIT_MIN = 2.0
 
 
 class AdaptiveLimit:
@@ -26,6 +26,6 @@
         was_full = self.in_flight >= int(self.limit) - 1
         self.in_flight -= 1
         if overloaded:
-            self.limit = max(LOWEST, self.limit * DECREASE)
+            self.limit = max(LIMIT_MIN, self.limit * DECREASE_FACTOR)
         elif was_full:
             self.limit = min(self.maximum, self.limit + 1.0 / self.limit)
--- a/libs/routing/ruddersaddle_routing/loads.py
+++ b/libs/routing/ruddersaddle_routing/loads.py
@@ -9,17 +9,17 @@
 from ruddersaddle_routing.limits import AdaptiveLimit
 from ruddersaddle_routing.retries import Circuit
 
-SENT_KEPT_S = 10.0
+SENT_RETENTION_S = 10.0
 """Requests sent longer ago than this are in every report, in seconds."""
 RATE_WINDOW_S = 3.0
 """Time over which the rate of sending is taken, in seconds."""
-PENDING_S = 10.0
+PENDING_TIMEOUT_S = 10.0
 """Blocks sent for computation count as cached for this long, until events tell, in seconds."""
-REPORT_MAX_S = 5.0
+REPORT_AGE_MAX_S = 5.0
 """A report older than this is not used."""
 
 
-class Sent:
+class SentRequest:
     """One request that was sent: its tokens to prefill, when, and whether they are done."""
 
     def __init__(self, tokens: int) -> None:
@@ -51,7 +51,7 @@
         self._reported_at = 0.0
         self.measured_at = 0.0
         self._version_at = 0.0
-        self._sent: deque[Sent] = deque()
+        self._sent: deque[SentRequest] = deque()
         self._pending: dict[BlockKey, float] = {}
 
     @property
@@ -71,7 +71,7 @@
         self.measured_at = self._reported_at - report.age_s
         if self.measured_at >= self._version_at:
             self.version = report.version
-        oldest = self._reported_at - SENT_KEPT_S
+        oldest = self._reported_at - SENT_RETENTION_S
         while self._sent and self._sent[0].at < oldest:
             self._sent.popleft()
 
@@ -80,9 +80,9 @@
         self.version = version
         self._version_at = time.monotonic()
 
-    def record_sent(self, tokens: int, keys: list[BlockKey]) -> Sent:
+    def record_sent(self, tokens: int, keys: list[BlockKey]) -> SentRequest:
         """Count a request that was sent, with the blocks that it will leave in the cache."""
-        sent = Sent(tokens)
+        sent = SentRequest(tokens)
         self._sent.append(sent)
         for key in keys:
             self._pending[key] = sent.at
@@ -98,7 +98,7 @@
         """
         now = time.monotonic()
         own = float(sum(sent.tokens for sent in self._sent if not sent.is_done))
-        if self.report is None or now - self._reported_at > REPORT_MAX_S:
+        if self.report is None or now - self._reported_at > REPORT_AGE_MAX_S:
             return own
         elapsed_s = now - self.measured_at
         since = sum(sent.tokens for sent in self._sent if sent.at >= self.measured_at)
@@ -133,7 +133,7 @@
         sent_at = self._pending.get(key)
         if sent_at is None:
             return False
-        if time.monotonic() - sent_at <= PENDING_S:
+        if time.monotonic() - sent_at <= PENDING_TIMEOUT_S:
             return True
         del self._pending[key]
         return False
--- a/libs/routing/ruddersaddle_routing/queues.py
+++ b/libs/routing/ruddersaddle_routing/queues.py
@@ -15,7 +15,7 @@
 
 SMOOTHING = 0.1
 """Weight of the newest hold in the mean."""
-HOLD_START_S = 0.3
+INITIAL_HOLD_S = 0.3
 """Mean hold of a slot before any was measured, in seconds."""
 
 
@@ -40,7 +40,7 @@
         self.capacity = capacity
         self.is_open = is_open
         self.in_use = 0
-        self.mean_hold_s = HOLD_START_S
+        self.mean_hold_s = INITIAL_HOLD_S
         self.virtual_time = 0.0
         self.finish_by_workspace: dict[WorkspaceId, float] = {}
         self.waiting_by_workspace: dict[WorkspaceId, int] = {}
--- a/libs/routing/ruddersaddle_routing/tests/test_choices.py
+++ b/libs/routing/ruddersaddle_routing/tests/test_choices.py
@@ -5,7 +5,7 @@
 from ruddersaddle_base.ids import BlockKey, HallId, UpstreamId
 from ruddersaddle_upstreams.engines import LoadReport
 
-from ruddersaddle_routing.choices import POLICY_BY_NAME, Chooser, Kept, Prompt
+from ruddersaddle_routing.choices import POLICY_BY_NAME, Chooser, Prompt, StoredChain
 from ruddersaddle_routing.limits import AdaptiveLimit
 from ruddersaddle_routing.loads import Load
 from ruddersaddle_routing.rendezvous import rank_names
@@ -27,7 +27,7 @@
 class ChoiceTest(unittest.TestCase):
     def choose(self, loads, kept=None, policy="predicted", homes=()):
         prompt = Prompt(TOKENS, homes, lambda _version: KEYS)
-        return Chooser.from_name(policy, SPEED).choose(loads, prompt, kept or Kept())
+        return Chooser.from_name(policy, SPEED).choose(loads, prompt, kept or StoredChain())
 
     def test_the_holder_of_the_prefix_is_taken_while_it_is_not_hot(self):
         choice = self.choose([new_load("idle"), new_load("holder", waiting=300, cached=10)])
@@ -38,15 +38,15 @@
         self.assertEqual(choice.load.address, "idle")
 
     def test_kept_context_is_fetched_where_that_beats_computing(self):
-        fast = self.choose([new_load("a")], Kept(10, seconds_per_block=0.001))
+        fast = self.choose([new_load("a")], StoredChain(10, seconds_per_block=0.001))
         self.assertEqual(fast.fetch_until, 10)
-        slow = self.choose([new_load("a")], Kept(10, seconds_per_block=1.0))
+        slow = self.choose([new_load("a")], StoredChain(10, seconds_per_block=1.0))
         self.assertEqual(slow.fetch_until, 0)
-        queued = self.choose([new_load("a")], Kept(10, 0.001, wait_s=5.0))
+        queued = self.choose([new_load("a")], StoredChain(10, 0.001, wait_s=5.0))
         self.assertEqual(queued.fetch_until, 0)
 
     def test_what_the_engine_caches_is_not_fetched(self):
-        choice = self.choose([new_load("a", cached=10)], Kept(10, 0.001))
+        choice = self.choose([new_load("a", cached=10)], StoredChain(10, 0.001))
         self.assertEqual(choice.fetch_until, 0)
 
     def test_hosts_agree_on_the_engine_of_a_new_prefix(self):
--- a/libs/routing/ruddersaddle_routing/tests/test_loads.py
+++ b/libs/routing/ruddersaddle_routing/tests/test_loads.py
@@ -8,7 +8,7 @@
 from ruddersaddle_upstreams.engines import LoadReport
 
 from ruddersaddle_routing.limits import AdaptiveLimit
-from ruddersaddle_routing.loads import PENDING_S, RATE_WINDOW_S, Load
+from ruddersaddle_routing.loads import PENDING_TIMEOUT_S, RATE_WINDOW_S, Load
 from ruddersaddle_routing.retries import Circuit
 
 
@@ -75,7 +75,7 @@
         self.load.record_sent(10, keys)
         self.assertEqual(self.load.count_cached(keys), 2)
         self.assertEqual(self.load.count_confirmed(keys), 0)
-        self.now += PENDING_S + 1
+        self.now += PENDING_TIMEOUT_S + 1
         self.assertEqual(self.load.count_cached(keys), 0)
 
     def test_events_tell_what_is_cached(self):
--- a/libs/standins/ruddersaddle_standins/capacities.py
+++ b/libs/standins/ruddersaddle_standins/capacities.py
@@ -26,7 +26,7 @@
     WorkspaceId,
     join_position,
 )
-from ruddersaddle_routing.choices import Chooser, Kept, Prompt
+from ruddersaddle_routing.choices import Chooser, Prompt, StoredChain
 from ruddersaddle_routing.limits import AdaptiveLimit
 from ruddersaddle_routing.loads import Load
 from ruddersaddle_routing.rendezvous import rank_names
@@ -173,7 +173,7 @@
     prompt = Prompt(2500, (), lambda _version: keys)
     chooser = Chooser.from_name("predicted", 8000.0)
     for _ in range(100):
-        chooser.choose(loads, prompt, Kept(20, 0.001, 0.0))
+        chooser.choose(loads, prompt, StoredChain(20, 0.001, 0.0))
 
 
 def rank(count: int) -> None:
