--- a/libs/serving/ruddersaddle_serving/entry_hosts.py
+++ b/libs/serving/ruddersaddle_serving/entry_hosts.py
@@ -387,13 +387,13 @@
         return max(0, publications.version - publications.stored_version)
 
     def _resting_count(self) -> int:
-        return sum(each.reported.rest_s > 0 for each in self.trackers.by_id.values())
+        return sum(each.reported.backoff_s > 0 for each in self.trackers.by_id.values())
 
     def _leaving_count(self) -> int:
         return sum(each.leaving for each in self.upstreams.by_id.values())
 
     def _limited_count(self) -> int:
-        return sum(each.reported.rate_limit.is_named for each in self.trackers.by_id.values())
+        return sum(each.reported.rate_limit.is_advertised for each in self.trackers.by_id.values())
 
     def _silent_count(self) -> int:
         return sum(each.is_silent for each in self.trackers.by_id.values())
--- a/libs/serving/ruddersaddle_serving/load_shares.py
+++ b/libs/serving/ruddersaddle_serving/load_shares.py
@@ -213,7 +213,7 @@
         is_replaced=tracker.is_replaced,
         born_ms=tracker.entry.born_ms,
         start_ms=round(1000 * tracker.load.pace.start_s),
-        limit=tracker.reported.rate_limit.news(),
+        limit=tracker.reported.rate_limit.latest_update(),
     )
 
 
--- a/libs/serving/ruddersaddle_serving/placements.py
+++ b/libs/serving/ruddersaddle_serving/placements.py
@@ -153,11 +153,11 @@
 
     def _is_open(self, tracker: Tracker) -> bool:
         """Return whether this host may send a request to an upstream now."""
-        return tracker.reported.rest_s <= 0 and self.shares.may_send(tracker)
+        return tracker.reported.backoff_s <= 0 and self.shares.may_send(tracker)
 
     def _refuse_closed(self, pool: PoolId, trackers: list[Tracker], left: list[Tracker]) -> Failure:
         """Refuse, since nothing may be sent to any of the upstreams that are `left`."""
-        awake = [tracker for tracker in left if tracker.reported.rest_s <= 0]
+        awake = [tracker for tracker in left if tracker.reported.backoff_s <= 0]
         limited = sum(tracker.reported.rate_limit.bound_per_s() is not None for tracker in awake)
         counts = {
             "upstreams": len(trackers),
@@ -186,7 +186,7 @@
             detail = "it said meanwhile that it leaves"
         elif self.publications.evacuations.is_in_force(hall):
             detail = f"hall {hall} was evacuated meanwhile"
-        elif tracker.reported.rest_s > 0:
+        elif tracker.reported.backoff_s > 0:
             detail = "it asked for rest meanwhile"
         elif not self.shares.may_send(tracker):
             detail = "it is cold or limited, and this host's share was sent meanwhile"
@@ -357,7 +357,7 @@
 
     Callers come back spread out, so that it isn't run over at once.
     """
-    rest_s = min((tracker.reported.rest_s for tracker in trackers), default=0.0)
+    rest_s = min((tracker.reported.backoff_s for tracker in trackers), default=0.0)
     return rest_s + RETRY_SOON_S * random.random() if rest_s > 0 else 0.0
 
 
--- a/libs/serving/ruddersaddle_serving/self_reports.py
+++ b/libs/serving/ruddersaddle_serving/self_reports.py
@@ -20,7 +20,7 @@
     read, None where it names no limit."""
     leaving: bool = False
     """Whether it takes no new work any more; it never takes that back within one start."""
-    rest_s: float | Failure = 0.0
+    backoff_s: float | Failure = 0.0
     """For how long it wants nothing from the host that it turned away, in seconds."""
 
 
@@ -70,60 +70,60 @@
     """The limit of one start of an upstream; moments are of the steady clock, in seconds."""
 
     def __init__(self) -> None:
-        self._news: LimitNews | None = None
-        self._heard_at = float("-inf")
+        self._latest: LimitNews | None = None
+        self._received_at = float("-inf")
 
     @property
-    def is_named(self) -> bool:
+    def is_advertised(self) -> bool:
         """Whether the upstream named a limit when it was last heard of."""
-        return self._news is not None and not self._news.ended
+        return self._latest is not None and not self._latest.ended
 
     def bound_per_s(self) -> float | None:
         """Return what the upstream takes a second of all hosts now; None where nothing bounds it.
 
         One that nobody sends to can't say that its need is over, so that an old word counts less.
         """
-        if self._news is None:
+        if self._latest is None:
             return None
-        until = self._heard_at if self._news.ended else self._heard_at + TRUST_S
+        until = self._received_at if self._latest.ended else self._received_at + TRUST_S
         doublings = max(0.0, (clocks.now_s() - until) / DOUBLING_S)
         if doublings > DOUBLINGS_MAX:
             return None
-        return max(LEAST_PER_S, self._news.per_s) * 2**doublings
+        return max(LEAST_PER_S, self._latest.per_s) * 2**doublings
 
-    def news(self) -> LimitNews | None:
+    def latest_update(self) -> LimitNews | None:
         """Return what other hosts should know; None where nothing was heard lately."""
-        age_s = clocks.now_s() - self._heard_at
-        if self._news is None or age_s > TOLD_S:
+        age_s = clocks.now_s() - self._received_at
+        if self._latest is None or age_s > TOLD_S:
             return None
-        return msgspec.structs.replace(self._news, age_s=age_s)
+        return msgspec.structs.replace(self._latest, age_s=age_s)
 
-    def take(self, news: LimitNews, is_first_hand: bool = True) -> LimitChange:
+    def apply(self, news: LimitNews, is_first_hand: bool = True) -> LimitChange:
         """Take what an answer said; one that came before the latest known changes nothing.
 
         `is_first_hand` says that it comes from the host that had the answer.
         """
         heard_at = clocks.now_s() - news.age_s
-        if heard_at < self._heard_at or (self._news is None and news.ended):
+        if heard_at < self._received_at or (self._latest is None and news.ended):
             return LimitChange.NONE
-        if not is_first_hand and self._knows(news):
+        if not is_first_hand and self._is_known(news):
             return LimitChange.NONE
-        was_named = self.is_named
-        self._news = news
-        self._heard_at = heard_at
-        if self.is_named == was_named:
+        was_named = self.is_advertised
+        self._latest = news
+        self._received_at = heard_at
+        if self.is_advertised == was_named:
             return LimitChange.NONE
-        return LimitChange.BEGUN if self.is_named else LimitChange.ENDED
+        return LimitChange.BEGUN if self.is_advertised else LimitChange.ENDED
 
-    def _knows(self, news: LimitNews) -> bool:
+    def _is_known(self, news: LimitNews) -> bool:
         """Return whether the answer that told this is known already.
 
         Told to and fro between hosts, it would seem to be younger by its way each time.
         """
-        known = self._news
+        known = self._latest
         return known is not None and (news.request, news.ended) == (known.request, known.ended)
 
-    def after(
+    def update_from(
         self, report: SelfReport, request: RequestId | None, is_ordinary: bool
     ) -> LimitNews | None:
         """Return what the answer to a request tells as it comes; None where that is nothing.
@@ -134,8 +134,8 @@
         match report.limit_per_s:
             case float(per_s):
                 return LimitNews(per_s, False, request)
-            case None if is_ordinary and self.is_named:
-                return LimitNews(self._news.per_s, True, request)
+            case None if is_ordinary and self.is_advertised:
+                return LimitNews(self._latest.per_s, True, request)
         return None
 
 
@@ -144,23 +144,23 @@
 
     def __init__(self) -> None:
         self.rate_limit = RateLimit()
-        self._rests_until = float("-inf")
+        self._backoff_until = float("-inf")
 
     @property
-    def rest_s(self) -> float:
+    def backoff_s(self) -> float:
         """Seconds for which it wants nothing more from this host; 0 where it doesn't rest."""
-        return max(0.0, self._rests_until - clocks.now_s())
+        return max(0.0, self._backoff_until - clocks.now_s())
 
     @property
     def is_bounding(self) -> bool:
         """Whether anything that it said bounds what this host may send."""
-        return self.rest_s > 0 or self.rate_limit.bound_per_s() is not None
+        return self.backoff_s > 0 or self.rate_limit.bound_per_s() is not None
 
-    def rest(self, rest_s: float) -> bool:
+    def back_off(self, backoff_s: float) -> bool:
         """Take that it asks for rest from now on; return whether it did not rest before.
 
         An answer that asks for less shortens nothing: each answer binds by itself.
         """
-        begins = rest_s > 0 and self.rest_s <= 0
-        self._rests_until = max(self._rests_until, clocks.now_s() + rest_s)
+        begins = backoff_s > 0 and self.backoff_s <= 0
+        self._backoff_until = max(self._backoff_until, clocks.now_s() + backoff_s)
         return begins
--- a/libs/serving/ruddersaddle_serving/tests/test_load_shares.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_load_shares.py
@@ -150,7 +150,9 @@
                 news = LimitNews(2.1, ended, RequestId("q"))
                 fleet[4].tell(Notice(ENGINE, 1, Progress.REPORTED, limit=news))
                 self.settle(fleet)
-                named = {each.trackers.by_id[ENGINE].reported.rate_limit.is_named for each in fleet}
+                named = {
+                    each.trackers.by_id[ENGINE].reported.rate_limit.is_advertised for each in fleet
+                }
                 with self.subTest(halls=halls, ended=ended):
                     self.assertEqual(named, {not ended})
                 self.now += 0.1
--- a/libs/serving/ruddersaddle_serving/tests/test_placements.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_placements.py
@@ -282,22 +282,22 @@
 
     def test_engine_at_its_limit_is_left_out_and_its_last_request_held_back(self) -> None:
         self.fill(self.second, CAPACITY)
-        self.first.reported.rate_limit.take(LimitNews(1.0, False, RequestId("q")))
+        self.first.reported.rate_limit.apply(LimitNews(1.0, False, RequestId("q")))
         self.assertIs(self.choose().tracker, self.first)
         self.placement.shares.note_sent(self.first)
         self.assertIs(self.choose().tracker, self.second)
         self.assertIn("limited", self.placement.check_open(self.first).detail)
         for tracker in (self.first, self.second):
-            tracker.reported.rate_limit.take(LimitNews(0.0, False, RequestId("q")))
+            tracker.reported.rate_limit.apply(LimitNews(0.0, False, RequestId("q")))
             self.placement.shares.note_sent(tracker)
         self.assertEqual("2 upstreams, 2 at their limit", self.choose().detail)
 
     def test_engine_that_rests_is_left_out_and_all_resting_is_told_with_a_true_time(self) -> None:
-        self.first.reported.rest(3.0)
+        self.first.reported.back_off(3.0)
         self.fill(self.second, CAPACITY)
         self.assertIs(self.choose().tracker, self.second)
         self.assertIn("rest", self.placement.check_open(self.first).detail)
-        self.second.reported.rest(5.0)
+        self.second.reported.back_off(5.0)
         self.now += 1.0
         refusal = self.choose()
         self.assertEqual((refusal.code, refusal.ran), (Code.NO_UPSTREAM, Ran.NOT_RUN))
--- a/libs/serving/ruddersaddle_serving/tests/test_trackers.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_trackers.py
@@ -93,13 +93,13 @@
     def test_limit_outlasts_an_entry_that_goes_and_comes_back(self) -> None:
         trackers = Trackers()
         entry = make_entry("e-1", 1000)
-        trackers.at(entry).reported.rate_limit.take(LimitNews(2.1, False, RequestId("q")))
+        trackers.at(entry).reported.rate_limit.apply(LimitNews(2.1, False, RequestId("q")))
         trackers.keep_only(set())
         self.assertEqual(trackers.at(entry).reported.rate_limit.bound_per_s(), 2.1)
 
     def test_limit_of_a_start_says_nothing_of_the_next_one(self) -> None:
         trackers = Trackers()
-        trackers.at(make_entry("e-1", 1000)).reported.rate_limit.take(
+        trackers.at(make_entry("e-1", 1000)).reported.rate_limit.apply(
             LimitNews(2.1, False, RequestId("q"))
         )
         self.assertIsNone(trackers.at(make_entry("e-1", 2000)).reported.rate_limit.bound_per_s())
--- a/libs/serving/ruddersaddle_serving/tests/test_upstream_shares.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_upstream_shares.py
@@ -194,7 +194,7 @@
 
     def tell(self, fleet: Fleet, limit_per_s: float, ended: bool = False) -> None:
         for tracker in fleet.trackers:
-            tracker.reported.rate_limit.take(LimitNews(limit_per_s, ended, RequestId("q")))
+            tracker.reported.rate_limit.apply(LimitNews(limit_per_s, ended, RequestId("q")))
 
     def sent_by_step(
         self, fleet: Fleet, seconds: float, limit_per_s: float | None = None
--- a/libs/serving/ruddersaddle_serving/trackers.py
+++ b/libs/serving/ruddersaddle_serving/trackers.py
@@ -266,10 +266,10 @@
 
         `request` is None where the answer is to a call of this host's own.
         """
-        self._take_rest(report.rest_s, request)
+        self._take_rest(report.backoff_s, request)
         if isinstance(report.limit_per_s, Failure):
             self._warn_unreadable(report.limit_per_s, request)
-        limit = self.reported.rate_limit.after(report, request, is_ordinary)
+        limit = self.reported.rate_limit.update_from(report, request, is_ordinary)
         if limit is None and not report.leaving:
             return None
         start = self.entry.start
@@ -281,7 +281,7 @@
     def _take_rest(self, rest_s: float | Failure, request: RequestId | None) -> None:
         if isinstance(rest_s, Failure):
             self._warn_unreadable(rest_s, request)
-        elif self.reported.rest(rest_s):
+        elif self.reported.back_off(rest_s):
             logger.info(
                 "Upstream %s wants nothing for %.1f s.",
                 self.entry.start,
@@ -301,7 +301,7 @@
         """Take what the upstream said of its limit, as a host tells, first hand or not."""
         if news is None:
             return
-        change = self.reported.rate_limit.take(news, is_first_hand)
+        change = self.reported.rate_limit.apply(news, is_first_hand)
         if change is not LimitChange.NONE:
             logger.info(
                 "Limit of upstream %s has %s: %.2f requests a second.",
--- a/libs/serving/ruddersaddle_serving/upstream_shares.py
+++ b/libs/serving/ruddersaddle_serving/upstream_shares.py
@@ -110,7 +110,7 @@
         """Count a request that leaves for an upstream, bounded or not: it may be at once."""
         tracker.sends.note(clocks.now_s())
         self.cold_sent += self.is_cold(tracker)
-        self.limited_sent += tracker.reported.rate_limit.is_named
+        self.limited_sent += tracker.reported.rate_limit.is_advertised
 
     def count_cold(self) -> int:
         """Return how many upstreams say that they are cold."""
