--- a/libs/serving/ruddersaddle_serving/load_shares.py
+++ b/libs/serving/ruddersaddle_serving/load_shares.py
@@ -16,7 +16,7 @@
 from ruddersaddle_serving.hosts import Hosts
 from ruddersaddle_serving.paces import START_S, Pace
 from ruddersaddle_serving.peers import Peers
-from ruddersaddle_serving.self_reports import LimitNews
+from ruddersaddle_serving.self_reports import LimitUpdate
 from ruddersaddle_serving.silences import Silence
 from ruddersaddle_serving.tasks import spawn_forever
 from ruddersaddle_serving.trackers import Notice, Tracker, Trackers
@@ -73,7 +73,7 @@
     """Which start of it this is; None where that is not told."""
     start_ms: float = START_S * 1000
     """Time that first events take beside reading."""
-    limit: LimitNews | None = None
+    limit: LimitUpdate | None = None
     """What is known of the limit that it names."""
 
 
--- a/libs/serving/ruddersaddle_serving/ports.py
+++ b/libs/serving/ruddersaddle_serving/ports.py
@@ -11,7 +11,7 @@
 from ruddersaddle_serving.evacuations import Evacuation
 from ruddersaddle_serving.prompts import CallerHead, CallerRequest, Headers, PartId
 from ruddersaddle_serving.routes import ContextStore, Published
-from ruddersaddle_serving.self_reports import SILENT_REPORT, SelfReport
+from ruddersaddle_serving.self_reports import EMPTY_REPORT, SelfReport
 from ruddersaddle_serving.store_eras import StoreEras
 from ruddersaddle_serving.upstream_entries import UpstreamEntry, UpstreamStart
 
@@ -157,7 +157,7 @@
     encoded: bool
     headers: Headers
     """Headers that go to the caller as they came."""
-    report: SelfReport = SILENT_REPORT
+    report: SelfReport = EMPTY_REPORT
 
 
 class Wire(Protocol):
--- a/libs/serving/ruddersaddle_serving/self_reports.py
+++ b/libs/serving/ruddersaddle_serving/self_reports.py
@@ -24,29 +24,29 @@
     """For how long it wants nothing from the host that it turned away, in seconds."""
 
 
-SILENT_REPORT = SelfReport()
+EMPTY_REPORT = SelfReport()
 """An answer that says nothing of its upstream."""
-LEAST_PER_S = 0.25
+LIMIT_MIN_PER_S = 0.25
 """A lower limit counts as this many requests a second: without any, nobody would hear its end."""
-TRUST_S = 4.0
+LIMIT_TRUST_S = 4.0
 """A limit that no answer has named for this long is given up, like one that has ended."""
-DOUBLING_S = 0.5
+RAMP_DOUBLING_S = 0.5
 """Once a limit has ended, what the upstream gets doubles in this time, so that hosts don't all come
 back at the same moment."""
-DOUBLINGS_MAX = 8
+RAMP_DOUBLINGS_MAX = 8
 """After so many, the limit is over."""
-TOLD_S = 10.0
+LIMIT_BROADCAST_S = 10.0
 """Hosts tell one another of a limit for this long after it was last heard of."""
 
 
-class Leave(msgspec.Struct, frozen=True, array_like=True):
+class LeaveNotice(msgspec.Struct, frozen=True, array_like=True):
     """Tells that an upstream said in an answer that it leaves."""
 
     request: RequestId | None
     """Request whose answer told it; None for a call of the host itself."""
 
 
-class LimitNews(msgspec.Struct, frozen=True, array_like=True):
+class LimitUpdate(msgspec.Struct, frozen=True, array_like=True):
     """The latest that is known of an upstream's limit, as hosts tell one another."""
 
     per_s: float
@@ -62,7 +62,7 @@
     """What an answer changed about an upstream's limit."""
 
     NONE = "none"
-    BEGUN = "begun"
+    STARTED = "begun"
     ENDED = "ended"
 
 
@@ -70,7 +70,7 @@
     """The limit of one start of an upstream; moments are of the steady clock, in seconds."""
 
     def __init__(self) -> None:
-        self._latest: LimitNews | None = None
+        self._latest: LimitUpdate | None = None
         self._received_at = float("-inf")
 
     @property
@@ -85,20 +85,20 @@
         """
         if self._latest is None:
             return None
-        until = self._received_at if self._latest.ended else self._received_at + TRUST_S
-        doublings = max(0.0, (clocks.now_s() - until) / DOUBLING_S)
-        if doublings > DOUBLINGS_MAX:
+        until = self._received_at if self._latest.ended else self._received_at + LIMIT_TRUST_S
+        doublings = max(0.0, (clocks.now_s() - until) / RAMP_DOUBLING_S)
+        if doublings > RAMP_DOUBLINGS_MAX:
             return None
-        return max(LEAST_PER_S, self._latest.per_s) * 2**doublings
+        return max(LIMIT_MIN_PER_S, self._latest.per_s) * 2**doublings
 
-    def latest_update(self) -> LimitNews | None:
+    def latest_update(self) -> LimitUpdate | None:
         """Return what other hosts should know; None where nothing was heard lately."""
         age_s = clocks.now_s() - self._received_at
-        if self._latest is None or age_s > TOLD_S:
+        if self._latest is None or age_s > LIMIT_BROADCAST_S:
             return None
         return msgspec.structs.replace(self._latest, age_s=age_s)
 
-    def apply(self, news: LimitNews, is_first_hand: bool = True) -> LimitChange:
+    def apply(self, news: LimitUpdate, is_first_hand: bool = True) -> LimitChange:
         """Take what an answer said; one that came before the latest known changes nothing.
 
         `is_first_hand` says that it comes from the host that had the answer.
@@ -113,9 +113,9 @@
         self._received_at = heard_at
         if self.is_advertised == was_named:
             return LimitChange.NONE
-        return LimitChange.BEGUN if self.is_advertised else LimitChange.ENDED
+        return LimitChange.STARTED if self.is_advertised else LimitChange.ENDED
 
-    def _is_known(self, news: LimitNews) -> bool:
+    def _is_known(self, news: LimitUpdate) -> bool:
         """Return whether the answer that told this is known already.
 
         Told to and fro between hosts, it would seem to be younger by its way each time.
@@ -125,7 +125,7 @@
 
     def update_from(
         self, report: SelfReport, request: RequestId | None, is_ordinary: bool
-    ) -> LimitNews | None:
+    ) -> LimitUpdate | None:
         """Return what the answer to a request tells as it comes; None where that is nothing.
 
         An answer that names no limit ends one only if it is an ordinary one: refusals and answers
@@ -133,13 +133,13 @@
         """
         match report.limit_per_s:
             case float(per_s):
-                return LimitNews(per_s, False, request)
+                return LimitUpdate(per_s, False, request)
             case None if is_ordinary and self.is_advertised:
-                return LimitNews(self._latest.per_s, True, request)
+                return LimitUpdate(self._latest.per_s, True, request)
         return None
 
 
-class Reported:
+class ReportedState:
     """What one start of an upstream has said of itself, for as long as it holds."""
 
     def __init__(self) -> None:
--- a/libs/serving/ruddersaddle_serving/tests/test_load_shares.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_load_shares.py
@@ -7,7 +7,7 @@
 from ruddersaddle_serving.hosts import HostRecord, Hosts
 from ruddersaddle_serving.load_shares import LoadShares, LoadSums, Notices
 from ruddersaddle_serving.prompts import Part, PartId
-from ruddersaddle_serving.self_reports import Leave, LimitNews
+from ruddersaddle_serving.self_reports import LeaveNotice, LimitUpdate
 from ruddersaddle_serving.tests.engine_waits import wait_s
 from ruddersaddle_serving.tests.fixed_clocks import FixedClockTest
 from ruddersaddle_serving.trackers import Assignment, Notice, Progress, Reach, Trackers
@@ -147,7 +147,7 @@
         for halls, in_hall in ((2, 3), (3, 8)):
             _, fleet = make_fleet(halls, in_hall)
             for ended in (False, True):
-                news = LimitNews(2.1, ended, RequestId("q"))
+                news = LimitUpdate(2.1, ended, RequestId("q"))
                 fleet[4].tell(Notice(ENGINE, 1, Progress.REPORTED, limit=news))
                 self.settle(fleet)
                 named = {
@@ -161,7 +161,7 @@
         for halls, in_hall, knowing in ((2, 3, 6), (1, 20, 2)):
             _, fleet = make_fleet(halls, in_hall)
             teller = next(each for each in fleet if not each.is_summing)
-            teller.tell(Notice(ENGINE, 1, Progress.REPORTED, leave=Leave(RequestId("q"))))
+            teller.tell(Notice(ENGINE, 1, Progress.REPORTED, leave=LeaveNotice(RequestId("q"))))
             self.settle(fleet)
             known = [each for each in fleet if each.upstreams.is_leaving(UpstreamStart(ENGINE))]
             with self.subTest(hosts=len(fleet)):
--- a/libs/serving/ruddersaddle_serving/tests/test_placements.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_placements.py
@@ -21,7 +21,7 @@
 from ruddersaddle_serving.prompts import CallerHead, CallerRequest, Part, PartId, Prompt
 from ruddersaddle_serving.publications import Publications
 from ruddersaddle_serving.routes import Pool, Published, Route, RouteKind, RouteName, Target
-from ruddersaddle_serving.self_reports import LimitNews
+from ruddersaddle_serving.self_reports import LimitUpdate
 from ruddersaddle_serving.tests.fixed_clocks import FixedClockTest
 from ruddersaddle_serving.trackers import Tracker, Trackers
 from ruddersaddle_serving.upstream_entries import Heartbeat, UpstreamEntry
@@ -282,13 +282,13 @@
 
     def test_engine_at_its_limit_is_left_out_and_its_last_request_held_back(self) -> None:
         self.fill(self.second, CAPACITY)
-        self.first.reported.rate_limit.apply(LimitNews(1.0, False, RequestId("q")))
+        self.first.reported.rate_limit.apply(LimitUpdate(1.0, False, RequestId("q")))
         self.assertIs(self.choose().tracker, self.first)
         self.placement.shares.note_sent(self.first)
         self.assertIs(self.choose().tracker, self.second)
         self.assertIn("limited", self.placement.check_open(self.first).detail)
         for tracker in (self.first, self.second):
-            tracker.reported.rate_limit.apply(LimitNews(0.0, False, RequestId("q")))
+            tracker.reported.rate_limit.apply(LimitUpdate(0.0, False, RequestId("q")))
             self.placement.shares.note_sent(tracker)
         self.assertEqual("2 upstreams, 2 at their limit", self.choose().detail)
 
--- a/libs/serving/ruddersaddle_serving/tests/test_self_reports.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_self_reports.py
@@ -4,11 +4,11 @@
 from ruddersaddle_base.ids import RequestId
 
 from ruddersaddle_serving.self_reports import (
-    SILENT_REPORT,
+    EMPTY_REPORT,
     LimitChange,
-    LimitNews,
+    LimitUpdate,
     RateLimit,
-    Reported,
+    ReportedState,
     SelfReport,
 )
 from ruddersaddle_serving.tests.fixed_clocks import FixedClockTest
@@ -26,11 +26,11 @@
         return LimitChange.NONE if news is None else self.limit.apply(news)
 
     def test_limit_begins_and_ends_with_what_ordinary_answers_say(self) -> None:
-        self.assertIs(self.hear(SILENT_REPORT), LimitChange.NONE)
-        self.assertIs(self.hear(SelfReport(2.1)), LimitChange.BEGUN)
+        self.assertIs(self.hear(EMPTY_REPORT), LimitChange.NONE)
+        self.assertIs(self.hear(SelfReport(2.1)), LimitChange.STARTED)
         self.assertIs(self.hear(SelfReport(0.0)), LimitChange.NONE)
-        self.assertIs(self.hear(SILENT_REPORT, is_ordinary=False), LimitChange.NONE)
-        self.assertIs(self.hear(SILENT_REPORT), LimitChange.ENDED)
+        self.assertIs(self.hear(EMPTY_REPORT, is_ordinary=False), LimitChange.NONE)
+        self.assertIs(self.hear(EMPTY_REPORT), LimitChange.ENDED)
         self.assertFalse(self.limit.is_advertised)
 
     def test_unreadable_limit_changes_nothing(self) -> None:
@@ -42,9 +42,9 @@
     def test_older_word_of_another_host_changes_nothing(self) -> None:
         self.hear(SelfReport(2.1))
         self.now += 1.0
-        self.hear(SILENT_REPORT)
-        self.assertIs(self.limit.apply(LimitNews(2.1, False, REQUEST, 0.5)), LimitChange.NONE)
-        self.assertIs(self.limit.apply(LimitNews(2.1, False, REQUEST)), LimitChange.BEGUN)
+        self.hear(EMPTY_REPORT)
+        self.assertIs(self.limit.apply(LimitUpdate(2.1, False, REQUEST, 0.5)), LimitChange.NONE)
+        self.assertIs(self.limit.apply(LimitUpdate(2.1, False, REQUEST)), LimitChange.STARTED)
 
     def test_word_that_hosts_tell_one_another_to_and_fro_grows_old(self) -> None:
         self.hear(SelfReport(2.1))
@@ -57,12 +57,12 @@
         self.assertAlmostEqual(self.limit.latest_update().age_s, 8.0)
 
     def test_end_of_a_limit_that_was_never_heard_of_is_no_news(self) -> None:
-        self.assertIs(self.limit.apply(LimitNews(2.1, True, REQUEST)), LimitChange.NONE)
+        self.assertIs(self.limit.apply(LimitUpdate(2.1, True, REQUEST)), LimitChange.NONE)
 
 
 class RestTest(FixedClockTest):
     def test_later_answer_lengthens_a_rest_and_never_shortens_it(self) -> None:
-        reported = Reported()
+        reported = ReportedState()
         self.assertTrue(reported.back_off(3.0))
         self.now += 1.0
         self.assertFalse(reported.back_off(1.0))
--- a/libs/serving/ruddersaddle_serving/tests/test_trackers.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_trackers.py
@@ -6,7 +6,7 @@
 
 from ruddersaddle_serving.prompts import Part, PartId
 from ruddersaddle_serving.routes import Engine, Pool, Published, RouteTable
-from ruddersaddle_serving.self_reports import LimitNews
+from ruddersaddle_serving.self_reports import LimitUpdate
 from ruddersaddle_serving.tests.fixed_clocks import FixedClockTest
 from ruddersaddle_serving.trackers import Assignment, Notice, Progress, Trackers
 from ruddersaddle_serving.upstream_entries import UpstreamEntry
@@ -93,14 +93,14 @@
     def test_limit_outlasts_an_entry_that_goes_and_comes_back(self) -> None:
         trackers = Trackers()
         entry = make_entry("e-1", 1000)
-        trackers.at(entry).reported.rate_limit.apply(LimitNews(2.1, False, RequestId("q")))
+        trackers.at(entry).reported.rate_limit.apply(LimitUpdate(2.1, False, RequestId("q")))
         trackers.keep_only(set())
         self.assertEqual(trackers.at(entry).reported.rate_limit.bound_per_s(), 2.1)
 
     def test_limit_of_a_start_says_nothing_of_the_next_one(self) -> None:
         trackers = Trackers()
         trackers.at(make_entry("e-1", 1000)).reported.rate_limit.apply(
-            LimitNews(2.1, False, RequestId("q"))
+            LimitUpdate(2.1, False, RequestId("q"))
         )
         self.assertIsNone(trackers.at(make_entry("e-1", 2000)).reported.rate_limit.bound_per_s())
 
--- a/libs/serving/ruddersaddle_serving/tests/test_upstream_shares.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_upstream_shares.py
@@ -11,7 +11,12 @@
 from ruddersaddle_serving.hosts import HostRecord, Hosts
 from ruddersaddle_serving.publications import Publications
 from ruddersaddle_serving.routes import Pool, Published
-from ruddersaddle_serving.self_reports import DOUBLING_S, DOUBLINGS_MAX, TRUST_S, LimitNews
+from ruddersaddle_serving.self_reports import (
+    LIMIT_TRUST_S,
+    RAMP_DOUBLING_S,
+    RAMP_DOUBLINGS_MAX,
+    LimitUpdate,
+)
 from ruddersaddle_serving.tests.fixed_clocks import FixedClockTest
 from ruddersaddle_serving.trackers import Tracker, Trackers
 from ruddersaddle_serving.upstream_entries import Heartbeat, UpstreamEntry
@@ -194,7 +199,7 @@
 
     def tell(self, fleet: Fleet, limit_per_s: float, ended: bool = False) -> None:
         for tracker in fleet.trackers:
-            tracker.reported.rate_limit.apply(LimitNews(limit_per_s, ended, RequestId("q")))
+            tracker.reported.rate_limit.apply(LimitUpdate(limit_per_s, ended, RequestId("q")))
 
     def sent_by_step(
         self, fleet: Fleet, seconds: float, limit_per_s: float | None = None
@@ -233,7 +238,7 @@
 
     def test_limit_that_nobody_hears_of_is_given_up_in_steps(self) -> None:
         fleet = self.start(2.1, 71)
-        self.now += TRUST_S
+        self.now += LIMIT_TRUST_S
         per_second = [sum(self.sent_by_step(fleet, 1.0)) for _ in range(3)]
         self.assertEqual(per_second, sorted(per_second))
         self.assertLessEqual(per_second[0], 4 * 2.1)
@@ -248,7 +253,7 @@
         per_second = [sum(self.sent_by_step(fleet, 1.0)) for _ in range(4)]
         self.assertLessEqual(per_second[0], 4 * 2.1)
         self.assertGreater(per_second[-1], 8 * per_second[0])
-        self.now += DOUBLING_S * DOUBLINGS_MAX
+        self.now += RAMP_DOUBLING_S * RAMP_DOUBLINGS_MAX
         self.assertIsNone(fleet.shares[0].bound_per_s(fleet.trackers[0]))
 
     def test_limit_falls_and_rises_from_answer_to_answer(self) -> None:
--- a/libs/serving/ruddersaddle_serving/trackers.py
+++ b/libs/serving/ruddersaddle_serving/trackers.py
@@ -15,10 +15,10 @@
 from ruddersaddle_serving.prompts import Part
 from ruddersaddle_serving.routes import RouteTable
 from ruddersaddle_serving.self_reports import (
-    Leave,
+    LeaveNotice,
     LimitChange,
-    LimitNews,
-    Reported,
+    LimitUpdate,
+    ReportedState,
     SelfReport,
 )
 from ruddersaddle_serving.silences import TOLD_TRUST_S, Silence
@@ -100,9 +100,9 @@
     """Where it was sent: the time within which something should be heard."""
     born_ms: int | None = None
     """Which start of the upstream it concerns; None where that is not told."""
-    limit: LimitNews | None = None
+    limit: LimitUpdate | None = None
     """What an answer said of the upstream's limit."""
-    leave: Leave | None = None
+    leave: LeaveNotice | None = None
     """That the upstream said that it leaves."""
 
 
@@ -128,7 +128,7 @@
         self,
         entry: UpstreamEntry,
         memory_tokens: int = 0,
-        reported: Reported | None = None,
+        reported: ReportedState | None = None,
     ) -> None:
         self.entry = entry
         self.connections = UpstreamConnections(entry.address)
@@ -140,7 +140,7 @@
         """The holder of the lease has it load weights until then, on the steady clock."""
         self.silence = Silence()
         self.sends = RecentSends()
-        self.reported = reported or Reported()
+        self.reported = reported or ReportedState()
         self._failing = 0.0
         self._noted_at = clocks.now_s()
         self._told_failing = 0.0
@@ -273,7 +273,7 @@
         if limit is None and not report.leaving:
             return None
         start = self.entry.start
-        leave = Leave(request) if report.leaving else None
+        leave = LeaveNotice(request) if report.leaving else None
         return Notice(
             start.id, 0, Progress.REPORTED, born_ms=start.born_ms, limit=limit, leave=leave
         )
@@ -297,7 +297,7 @@
             extra={"request": request},
         )
 
-    def take_limit(self, news: LimitNews | None, teller: str, is_first_hand: bool) -> None:
+    def take_limit(self, news: LimitUpdate | None, teller: str, is_first_hand: bool) -> None:
         """Take what the upstream said of its limit, as a host tells, first hand or not."""
         if news is None:
             return
@@ -343,7 +343,7 @@
 
     def __init__(self) -> None:
         self.by_id: dict[UpstreamId, Tracker] = {}
-        self._reported_by_start: dict[UpstreamStart, Reported] = {}
+        self._reported_by_start: dict[UpstreamStart, ReportedState] = {}
         """What starts said whose entries were taken out, the latest last; entries come back."""
         self._memory_by_pool: dict[PoolId, int] = {}
 
