--- a/libs/serving/ruddersaddle_serving/cold_starts.py
+++ b/libs/serving/ruddersaddle_serving/cold_starts.py
@@ -15,7 +15,7 @@
 class ColdStart(msgspec.Struct, frozen=True, array_like=True):
     """Tells that a start of an upstream is cold."""
 
-    start: UpstreamStart
+    instance: UpstreamStart
     heartbeat: Heartbeat
     """The write that told it, with the seconds that are left now."""
 
@@ -31,30 +31,30 @@
     """Until when each start of an upstream is cold."""
 
     def __init__(self) -> None:
-        self._told_by_start: dict[UpstreamStart, _Told] = {}
+        self._reported_by_instance: dict[UpstreamStart, _Told] = {}
 
-    def take(self, start: UpstreamStart, heartbeat: Heartbeat) -> None:
+    def apply(self, start: UpstreamStart, heartbeat: Heartbeat) -> None:
         """Take what a write of an entry says, counted from now: it was made some time before.
 
         A write that is older than the known one can only lengthen the time: where the same id
         begins anew without telling its birth, its numbers begin anew as well.
         """
-        known = self._told_by_start.get(start)
+        known = self._reported_by_instance.get(start)
         told = _Told(heartbeat.sequence, clocks.now_s() + heartbeat.cold_s)
         if known is None or told.sequence > known.sequence:
-            self._told_by_start[start] = told
+            self._reported_by_instance[start] = told
         elif told.sequence < known.sequence and heartbeat.cold_s > 0:
             until = max(known.until, told.until)
-            self._told_by_start[start] = msgspec.structs.replace(known, until=until)
+            self._reported_by_instance[start] = msgspec.structs.replace(known, until=until)
 
-    def take_all(self, cold: Iterable[ColdStart]) -> None:
+    def apply_all(self, cold: Iterable[ColdStart]) -> None:
         """Take what another host knows."""
         for each in cold:
-            self.take(each.start, each.heartbeat)
+            self.apply(each.instance, each.heartbeat)
 
     def until(self, start: UpstreamStart) -> float:
         """Return until when a start is cold, on the steady clock; long ago if it never was."""
-        known = self._told_by_start.get(start)
+        known = self._reported_by_instance.get(start)
         return float("-inf") if known is None else known.until
 
     def current(self) -> tuple[ColdStart, ...]:
@@ -62,11 +62,11 @@
         now = clocks.now_s()
         return tuple(
             ColdStart(start, Heartbeat(told.sequence, told.until - now))
-            for start, told in self._told_by_start.items()
+            for start, told in self._reported_by_instance.items()
             if told.until > now
         )
 
     def keep_only(self, starts: Collection[UpstreamStart]) -> None:
         """Forget starts that are gone."""
-        for gone in self._told_by_start.keys() - set(starts):
-            del self._told_by_start[gone]
+        for gone in self._reported_by_instance.keys() - set(starts):
+            del self._reported_by_instance[gone]
--- a/libs/serving/ruddersaddle_serving/evacuations.py
+++ b/libs/serving/ruddersaddle_serving/evacuations.py
@@ -9,7 +9,7 @@
 
 logger = logging.getLogger(__name__)
 
-RETURN_GRACE_S = 10.0
+RESTORE_GRACE_S = 10.0
 """How long an evacuation that a store lacks after its return from a copy goes on: operators write
 theirs again."""
 
@@ -26,7 +26,7 @@
 
     def __init__(self) -> None:
         self._since_by_hall: dict[HallId, float] = {}
-        self._kept_until_by_hall: dict[HallId, float] = {}
+        self._held_until_by_hall: dict[HallId, float] = {}
         """Halls that the store no longer names after its return from a copy."""
         self._ended_by_hall: dict[HallId, float] = {}
 
@@ -47,38 +47,38 @@
         """Return for how long this host has known that a hall is evacuated."""
         return clocks.now_s() - self._since_by_hall.get(hall, clocks.now_s())
 
-    def take(self, evacuation: Evacuation) -> None:
+    def apply(self, evacuation: Evacuation) -> None:
         """Take a change."""
         if evacuation.in_force:
             self._begin(evacuation.hall)
         else:
             self._end(evacuation.hall)
 
-    def replace(self, halls: Collection[HallId], is_copy: bool) -> None:
+    def replace(self, halls: Collection[HallId], is_restored: bool) -> None:
         """Take all evacuations that are in force.
 
-        `is_copy` says that the store has just come back from a copy some seconds old: one that it
-        doesn't name may have been written since, so that it holds until operators have had time to
-        write it again.
+        `is_restored` says that the store has just been restored from a copy that is some seconds
+        old. An evacuation that such a copy lacks may have been written since, so it stays in force
+        until operators have had time to write it again.
         """
         now = clocks.now_s()
         for hall in set(self._since_by_hall) - set(halls):
-            if is_copy:
-                self._kept_until_by_hall[hall] = now + RETURN_GRACE_S
-            elif hall not in self._kept_until_by_hall:
+            if is_restored:
+                self._held_until_by_hall[hall] = now + RESTORE_GRACE_S
+            elif hall not in self._held_until_by_hall:
                 self._end(hall)
         for hall in halls:
             self._begin(hall)
         self._end_lapsed()
 
     def _begin(self, hall: HallId) -> None:
-        self._kept_until_by_hall.pop(hall, None)
+        self._held_until_by_hall.pop(hall, None)
         if hall not in self._since_by_hall:
             self._since_by_hall[hall] = clocks.now_s()
             logger.info("Hall %s is evacuated; its upstreams get nothing more.", hall)
 
     def _end(self, hall: HallId) -> None:
-        self._kept_until_by_hall.pop(hall, None)
+        self._held_until_by_hall.pop(hall, None)
         since = self._since_by_hall.pop(hall, None)
         if since is not None:
             now = clocks.now_s()
@@ -87,6 +87,6 @@
 
     def _end_lapsed(self) -> None:
         now = clocks.now_s()
-        for hall, until in list(self._kept_until_by_hall.items()):
+        for hall, until in list(self._held_until_by_hall.items()):
             if now >= until:
                 self._end(hall)
--- a/libs/serving/ruddersaddle_serving/neighbours.py
+++ b/libs/serving/ruddersaddle_serving/neighbours.py
@@ -231,7 +231,7 @@
             self.list.take(news.hosts, news.hosts_position)
         self._take_crashes(news, asked_at)
         # What is cold is taken before the entries, so that none of them is ever thought warm.
-        self.upstreams.cold.take_all(news.cold)
+        self.upstreams.cold.apply_all(news.cold)
         self.upstreams.take_leaving(news.leaving)
         entries_at = asked_at - news.entries_age_s
         if entries_at <= self.upstreams.confirmed_at:
--- a/libs/serving/ruddersaddle_serving/store_followers.py
+++ b/libs/serving/ruddersaddle_serving/store_followers.py
@@ -173,7 +173,7 @@
             publications.evacuations.replace(halls, publications.is_of_later_era(end))
             return
         for each in evacuations:
-            publications.evacuations.take(each)
+            publications.evacuations.apply(each)
 
     def _note_stored(self, item: Published | ModelVersion) -> None:
         """Tell once when the store has an older configuration than the one in force."""
--- a/libs/serving/ruddersaddle_serving/tests/load_replays.py
+++ b/libs/serving/ruddersaddle_serving/tests/load_replays.py
@@ -271,7 +271,7 @@
         if engine.dark and is_new:
             self.replay.after(CONNECT_S, self._fail_to_connect)
             return
-        self.host.placement.shares.note_sent(choice.tracker)
+        self.host.placement.shares.record_sent(choice.tracker)
         engine.take(self)
         number = self.number
         self.replay.after(PATIENCE_S, lambda: self._leave(number))
--- a/libs/serving/ruddersaddle_serving/tests/test_cold_starts.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_cold_starts.py
@@ -23,39 +23,39 @@
         self.assertLess(self.left_s(), 0)
 
     def test_newer_write_counts_whether_it_tells_more_or_less(self) -> None:
-        self.cold.take(START, Heartbeat(1, 3.0))
+        self.cold.apply(START, Heartbeat(1, 3.0))
         self.now += 1.0
-        self.cold.take(START, Heartbeat(2, 1.5))
+        self.cold.apply(START, Heartbeat(2, 1.5))
         self.assertAlmostEqual(self.left_s(), 1.5)
-        self.cold.take(START, Heartbeat(3, 2.5))
+        self.cold.apply(START, Heartbeat(3, 2.5))
         self.assertAlmostEqual(self.left_s(), 2.5)
-        self.cold.take(START, Heartbeat(4, 0.0))
+        self.cold.apply(START, Heartbeat(4, 0.0))
         self.assertLessEqual(self.left_s(), 0)
 
     def test_same_write_read_again_lengthens_nothing(self) -> None:
-        self.cold.take(START, Heartbeat(1, 3.0))
+        self.cold.apply(START, Heartbeat(1, 3.0))
         self.now += 1.0
-        self.cold.take(START, Heartbeat(1, 3.0))
+        self.cold.apply(START, Heartbeat(1, 3.0))
         self.assertAlmostEqual(self.left_s(), 2.0)
 
     def test_older_write_never_says_that_a_start_is_warm(self) -> None:
-        self.cold.take(START, Heartbeat(5, 3.0))
-        self.cold.take(START, Heartbeat(4, 0.0))
+        self.cold.apply(START, Heartbeat(5, 3.0))
+        self.cold.apply(START, Heartbeat(4, 0.0))
         self.assertAlmostEqual(self.left_s(), 3.0)
-        self.cold.take(START, Heartbeat(1, 4.0))
+        self.cold.apply(START, Heartbeat(1, 4.0))
         self.assertAlmostEqual(self.left_s(), 4.0)
 
     def test_host_takes_what_another_one_knows_with_its_age(self) -> None:
-        self.cold.take(START, Heartbeat(1, 3.0))
+        self.cold.apply(START, Heartbeat(1, 3.0))
         self.now += 1.0
         other = ColdStarts()
-        other.take_all(self.cold.current())
+        other.apply_all(self.cold.current())
         self.assertAlmostEqual(other.until(START) - self.now, 2.0)
         self.now += 2.1
         self.assertEqual(self.cold.current(), ())
 
     def test_starts_that_are_gone_are_forgotten(self) -> None:
-        self.cold.take(START, Heartbeat(1, 3.0))
+        self.cold.apply(START, Heartbeat(1, 3.0))
         self.cold.keep_only([])
         self.assertLess(self.left_s(), 0)
 
--- a/libs/serving/ruddersaddle_serving/tests/test_evacuations.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_evacuations.py
@@ -5,7 +5,7 @@
 
 from ruddersaddle_base.ids import HallId
 
-from ruddersaddle_serving.evacuations import RETURN_GRACE_S, Evacuation, Evacuations
+from ruddersaddle_serving.evacuations import RESTORE_GRACE_S, Evacuation, Evacuations
 from ruddersaddle_serving.ports import Page, Record, StorePosition
 from ruddersaddle_serving.publications import Publications
 from ruddersaddle_serving.store_followers import OperatorFollower, StoreLink
@@ -20,39 +20,39 @@
         self.evacuations = Evacuations()
 
     def test_evacuation_holds_until_it_is_taken_back(self) -> None:
-        self.evacuations.take(Evacuation(HALL, in_force=True))
+        self.evacuations.apply(Evacuation(HALL, in_force=True))
         self.now += 5.0
         self.assertEqual(self.evacuations.in_force(), (HALL,))
         self.assertEqual(self.evacuations.age_s(HALL), 5.0)
-        self.evacuations.take(Evacuation(HALL, in_force=False))
+        self.evacuations.apply(Evacuation(HALL, in_force=False))
         self.assertFalse(self.evacuations.is_in_force(HALL))
         self.assertEqual(self.evacuations.ended_at(HALL), self.now)
 
     def test_whole_list_ends_what_it_does_not_name(self) -> None:
-        self.evacuations.replace([HALL, OTHER], is_copy=False)
-        self.evacuations.replace([OTHER], is_copy=False)
+        self.evacuations.replace([HALL, OTHER], is_restored=False)
+        self.evacuations.replace([OTHER], is_restored=False)
         self.assertEqual(self.evacuations.in_force(), (OTHER,))
 
     def test_evacuation_that_a_copy_lacks_holds_until_operators_could_write_it_again(self) -> None:
-        self.evacuations.replace([HALL], is_copy=False)
-        self.evacuations.replace([], is_copy=True)
-        self.evacuations.replace([], is_copy=False)
-        self.now += RETURN_GRACE_S / 2
+        self.evacuations.replace([HALL], is_restored=False)
+        self.evacuations.replace([], is_restored=True)
+        self.evacuations.replace([], is_restored=False)
+        self.now += RESTORE_GRACE_S / 2
         self.assertTrue(self.evacuations.is_in_force(HALL))
-        self.now += RETURN_GRACE_S
+        self.now += RESTORE_GRACE_S
         self.assertFalse(self.evacuations.is_in_force(HALL))
 
     def test_evacuation_that_is_written_again_after_a_return_holds_on(self) -> None:
-        self.evacuations.replace([HALL], is_copy=False)
-        self.evacuations.replace([], is_copy=True)
-        self.evacuations.take(Evacuation(HALL, in_force=True))
-        self.now += 3 * RETURN_GRACE_S
+        self.evacuations.replace([HALL], is_restored=False)
+        self.evacuations.replace([], is_restored=True)
+        self.evacuations.apply(Evacuation(HALL, in_force=True))
+        self.now += 3 * RESTORE_GRACE_S
         self.assertTrue(self.evacuations.is_in_force(HALL))
 
     def test_end_that_is_written_again_after_a_return_counts_at_once(self) -> None:
-        self.evacuations.replace([HALL], is_copy=False)
-        self.evacuations.replace([], is_copy=True)
-        self.evacuations.take(Evacuation(HALL, in_force=False))
+        self.evacuations.replace([HALL], is_restored=False)
+        self.evacuations.replace([], is_restored=True)
+        self.evacuations.apply(Evacuation(HALL, in_force=False))
         self.assertFalse(self.evacuations.is_in_force(HALL))
 
 
@@ -92,7 +92,7 @@
         self.take(StorePosition(1, 5), h=True)
         self.take(StorePosition(2, 3), whole=True, g=True)
         self.assertEqual(set(self.in_force()), {HALL, OTHER})
-        self.now += RETURN_GRACE_S
+        self.now += RESTORE_GRACE_S
         self.assertEqual(self.in_force(), (OTHER,))
 
 
--- a/libs/serving/ruddersaddle_serving/tests/test_placements.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_placements.py
@@ -257,24 +257,24 @@
         self.now += JOIN_S
 
     def turn_cold(self, tracker: Tracker) -> None:
-        self.upstreams.cold.take(tracker.entry.start, Heartbeat(1, 3.0))
+        self.upstreams.cold.apply(tracker.entry.start, Heartbeat(1, 3.0))
 
     def evacuate(self, hall: str) -> None:
-        self.publications.evacuations.take(Evacuation(HallId(hall), in_force=True))
+        self.publications.evacuations.apply(Evacuation(HallId(hall), in_force=True))
 
     def test_cold_engine_is_taken_until_this_host_has_sent_its_share(self) -> None:
         self.turn_cold(self.first)
         self.fill(self.second, CAPACITY)
         for _ in range(2):
             self.assertIs(self.choose().tracker, self.first)
-            self.placement.shares.note_sent(self.first)
+            self.placement.shares.record_sent(self.first)
         self.assertIs(self.choose().tracker, self.second)
 
     def test_all_cold_and_no_share_left_is_refused_and_has_not_run(self) -> None:
         for tracker in (self.first, self.second):
             self.turn_cold(tracker)
             for _ in range(2):
-                self.placement.shares.note_sent(tracker)
+                self.placement.shares.record_sent(tracker)
         refusal = self.choose()
         self.assertEqual((refusal.code, refusal.ran), (Code.NO_UPSTREAM, Ran.NOT_RUN))
         self.assertIn("2 cold", refusal.detail)
@@ -284,12 +284,12 @@
         self.fill(self.second, CAPACITY)
         self.first.reported.rate_limit.apply(LimitUpdate(1.0, False, RequestId("q")))
         self.assertIs(self.choose().tracker, self.first)
-        self.placement.shares.note_sent(self.first)
+        self.placement.shares.record_sent(self.first)
         self.assertIs(self.choose().tracker, self.second)
         self.assertIn("limited", self.placement.check_open(self.first).detail)
         for tracker in (self.first, self.second):
             tracker.reported.rate_limit.apply(LimitUpdate(0.0, False, RequestId("q")))
-            self.placement.shares.note_sent(tracker)
+            self.placement.shares.record_sent(tracker)
         self.assertEqual("2 upstreams, 2 at their limit", self.choose().detail)
 
     def test_engine_that_rests_is_left_out_and_all_resting_is_told_with_a_true_time(self) -> None:
@@ -321,7 +321,7 @@
         self.assertIsNone(self.placement.check_open(self.first))
         self.turn_cold(self.first)
         for _ in range(2):
-            self.placement.shares.note_sent(self.first)
+            self.placement.shares.record_sent(self.first)
         self.assertEqual(self.placement.check_open(self.first).ran, Ran.NOT_RUN)
         self.evacuate("h")
         self.assertIn("evacuated", self.placement.check_open(self.second).detail)
--- a/libs/serving/ruddersaddle_serving/tests/test_upstream_shares.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_upstream_shares.py
@@ -86,14 +86,14 @@
 
     def turn_cold(self, cold_s: float = COLD_S) -> None:
         for each in self.shares:
-            each.upstreams.cold.take(self.upstream.start, Heartbeat(2, cold_s))
+            each.upstreams.cold.apply(self.upstream.start, Heartbeat(2, cold_s))
 
     def send(self) -> int:
         """Let each host send as much as it may; return how many requests leave."""
         sent = 0
         for shares, tracker in zip(self.shares, self.trackers, strict=True):
             while shares.may_send(tracker) and sent < 10_000:
-                shares.note_sent(tracker)
+                shares.record_sent(tracker)
                 sent += 1
         return sent
 
@@ -151,7 +151,7 @@
         fleet = Fleet(18.0, {"host-0": ["host-0"]})
         self.now += JOIN_S
         for _ in range(30):
-            fleet.shares[0].note_sent(fleet.trackers[0])
+            fleet.shares[0].record_sent(fleet.trackers[0])
         fleet.turn_cold()
         self.assertEqual(fleet.send(), 0)
         self.now += WINDOW_S
@@ -162,8 +162,8 @@
         fleet = Fleet(18.0, {"host-0": ["host-0"]})
         shares, tracker = fleet.shares[0], fleet.trackers[0]
         evacuations = shares.publications.evacuations
-        evacuations.take(Evacuation(HALL, in_force=True))
-        evacuations.take(Evacuation(HALL, in_force=False))
+        evacuations.apply(Evacuation(HALL, in_force=True))
+        evacuations.apply(Evacuation(HALL, in_force=False))
         self.assertTrue(shares.is_cold(tracker))
         self.now += COLD_S
         self.assertFalse(shares.is_cold(tracker))
--- a/libs/serving/ruddersaddle_serving/upstream_lists.py
+++ b/libs/serving/ruddersaddle_serving/upstream_lists.py
@@ -163,7 +163,7 @@
             return
         if entry.heartbeat is not None:
             # A change of the entry is told to all hosts; a heartbeat is none.
-            self.cold.take(entry.start, entry.heartbeat)
+            self.cold.apply(entry.start, entry.heartbeat)
             entry = msgspec.structs.replace(entry, heartbeat=None)
         self._kept_until_by_id.pop(entry.id, None)
         self._gone.pop(entry.start, None)
--- a/libs/serving/ruddersaddle_serving/upstream_shares.py
+++ b/libs/serving/ruddersaddle_serving/upstream_shares.py
@@ -66,7 +66,7 @@
         """Requests that this host sent to cold upstreams."""
         self.limited_sent = 0
         """Requests that this host sent to upstreams that named a limit."""
-        self._ranked_by_start: dict[UpstreamStart, list[str]] = {}
+        self._ranked_by_instance: dict[UpstreamStart, list[str]] = {}
         self._ranked_digest = 0
         """Digest of the list of hosts that the ranks are of."""
 
@@ -106,7 +106,7 @@
         cold_per_s = self._pool(tracker).cold_per_s
         return cold_per_s if limit_per_s is None else min(cold_per_s, limit_per_s)
 
-    def note_sent(self, tracker: Tracker) -> None:
+    def record_sent(self, tracker: Tracker) -> None:
         """Count a request that leaves for an upstream, bounded or not: it may be at once."""
         tracker.sends.note(clocks.now_s())
         self.cold_sent += self.is_cold(tracker)
@@ -128,12 +128,12 @@
     def _rank(self, start: UpstreamStart) -> list[str]:
         if self._ranked_digest != self.hosts.digest:
             self._ranked_digest = self.hosts.digest
-            self._ranked_by_start.clear()
-        if start not in self._ranked_by_start:
+            self._ranked_by_instance.clear()
+        if start not in self._ranked_by_instance:
             known = set(self.upstreams.starts())
-            self._ranked_by_start = {
-                each: ranked for each, ranked in self._ranked_by_start.items() if each in known
+            self._ranked_by_instance = {
+                each: ranked for each, ranked in self._ranked_by_instance.items() if each in known
             }
             names = [self.hosts.own_id, *self.hosts.by_id]
-            self._ranked_by_start[start] = rank_names(str(start), names)
-        return self._ranked_by_start[start]
+            self._ranked_by_instance[start] = rank_names(str(start), names)
+        return self._ranked_by_instance[start]
