--- a/libs/serving/ruddersaddle_serving/entry_hosts.py
+++ b/libs/serving/ruddersaddle_serving/entry_hosts.py
@@ -61,7 +61,7 @@
 from ruddersaddle_serving.tasks import spawn_forever
 from ruddersaddle_serving.trackers import Notice, Trackers
 from ruddersaddle_serving.upstream_lists import UpstreamList
-from ruddersaddle_serving.upstream_shares import UpstreamShares
+from ruddersaddle_serving.upstream_quotas import UpstreamQuotas
 from ruddersaddle_serving.weight_rollouts import WeightRollouts
 
 logger = logging.getLogger(__name__)
@@ -120,7 +120,7 @@
         self.entries = UpstreamFollower(store, self.link, self.upstreams)
         self.trackers = Trackers()
         self.hosts = self._make_hosts(settings)
-        self.shares = UpstreamShares(self.hosts, self.publications, self.upstreams)
+        self.shares = UpstreamQuotas(self.hosts, self.publications, self.upstreams)
         self.kept = KeptParts(engines)
         self.budget = RetryBudget(settings.number("bounds.retry_share") * BUDGET_SHARE)
         self.publications.listeners += [self.trackers.take_table, self.kept.take_table]
--- a/libs/serving/ruddersaddle_serving/placements.py
+++ b/libs/serving/ruddersaddle_serving/placements.py
@@ -17,7 +17,7 @@
 from ruddersaddle_serving.routes import Route
 from ruddersaddle_serving.trackers import Assignment, Tracker, Trackers
 from ruddersaddle_serving.upstream_lists import UpstreamList
-from ruddersaddle_serving.upstream_shares import UpstreamShares
+from ruddersaddle_serving.upstream_quotas import UpstreamQuotas
 from ruddersaddle_serving.weighings import Estimate, Weighing
 
 CANDIDATES_MAX = 8
@@ -85,7 +85,7 @@
         upstreams: UpstreamList,
         trackers: Trackers,
         kept: KeptParts,
-        shares: UpstreamShares,
+        shares: UpstreamQuotas,
     ) -> None:
         self.hall = hall
         self.version_bound_s = version_bound_s
--- a/libs/serving/ruddersaddle_serving/tests/crash_replays.py
+++ b/libs/serving/ruddersaddle_serving/tests/crash_replays.py
@@ -23,7 +23,7 @@
 from ruddersaddle_serving.tests.replay_loads import Load
 from ruddersaddle_serving.trackers import Progress, Reach
 from ruddersaddle_serving.upstream_entries import Heartbeat, UpstreamEntry
-from ruddersaddle_serving.upstream_shares import JOIN_S
+from ruddersaddle_serving.upstream_quotas import JOIN_GRACE_S
 
 REFUSED_S = 0.002
 """Time until a connection is refused, or another start answers that it is not the one."""
@@ -174,7 +174,7 @@
         published = Published(1, pools=(Pool(POOL, None, crashes.cold_s, crashes.cold_per_s),))
         for host in self.hosts:
             host.placement.publications.take(published)
-            host.shares.hosts.known_at = self.now - JOIN_S
+            host.shares.hosts.known_at = self.now - JOIN_GRACE_S
         engines = list(self.engine_by_id.values())
         for moment in crashes.moments:
             for engine in self.draw.sample(engines, round(crashes.share * len(engines))):
--- a/libs/serving/ruddersaddle_serving/tests/load_replays.py
+++ b/libs/serving/ruddersaddle_serving/tests/load_replays.py
@@ -45,7 +45,7 @@
 from ruddersaddle_serving.upstream_connections import CONNECT_S, IDLE_S
 from ruddersaddle_serving.upstream_entries import UpstreamEntry
 from ruddersaddle_serving.upstream_lists import UpstreamList
-from ruddersaddle_serving.upstream_shares import UpstreamShares
+from ruddersaddle_serving.upstream_quotas import UpstreamQuotas
 
 POOL = PoolId("p")
 MODEL = ModelId("m")
@@ -186,7 +186,7 @@
         publications = Publications()
         kept = KeptParts(mock.Mock())
         hall = shares.hosts.own.hall
-        cold = UpstreamShares(shares.hosts, publications, upstreams)
+        cold = UpstreamQuotas(shares.hosts, publications, upstreams)
         self.placement = Placement(hall, 12.0, publications, upstreams, trackers, kept, cold)
         self.placement.belief_lag_s = lambda: shares.lag_s
         engines = mock.Mock()
--- a/libs/serving/ruddersaddle_serving/tests/test_crash_replays.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_crash_replays.py
@@ -12,7 +12,7 @@
 
 from ruddersaddle_serving.tests.crash_replays import Crashes, CrashReplay
 from ruddersaddle_serving.tests.replay_loads import Kind, Load
-from ruddersaddle_serving.upstream_shares import UpstreamShares
+from ruddersaddle_serving.upstream_quotas import UpstreamQuotas
 
 KINDS = (
     Kind("long", 75.0, 4870, 2870, 420, 0.645, 2, 2.9, 1997, 0.5, 20_000, 0.7),
@@ -78,7 +78,7 @@
 
     def test_without_shares_engines_fall_over(self) -> None:
         """The replay shows the fault: all hosts send to what is empty."""
-        with mock.patch.object(UpstreamShares, "may_send", return_value=True):
+        with mock.patch.object(UpstreamQuotas, "may_send", return_value=True):
             replay = self.play(LOAD, CRASHES)
         self.assertGreater(replay.fallen, 0)
 
--- a/libs/serving/ruddersaddle_serving/tests/test_placements.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_placements.py
@@ -26,7 +26,7 @@
 from ruddersaddle_serving.trackers import Tracker, Trackers
 from ruddersaddle_serving.upstream_entries import Heartbeat, UpstreamEntry
 from ruddersaddle_serving.upstream_lists import UpstreamList
-from ruddersaddle_serving.upstream_shares import JOIN_S, UpstreamShares
+from ruddersaddle_serving.upstream_quotas import JOIN_GRACE_S, UpstreamQuotas
 
 POOL = PoolId("p")
 MODEL = ModelId("m")
@@ -60,7 +60,7 @@
             self.upstreams,
             self.trackers,
             kept,
-            UpstreamShares(self.hosts, self.publications, self.upstreams),
+            UpstreamQuotas(self.hosts, self.publications, self.upstreams),
         )
         self.first, self.second = (self.add(name) for name in ("e-1", "e-2"))
 
@@ -254,7 +254,7 @@
         super().setUp()
         self.publications.take(Published(1, pools=(Pool(POOL, None, 3.0, 2.0),)))
         self.hosts.replace({})
-        self.now += JOIN_S
+        self.now += JOIN_GRACE_S
 
     def turn_cold(self, tracker: Tracker) -> None:
         self.upstreams.cold.apply(tracker.entry.start, Heartbeat(1, 3.0))
--- a/libs/serving/ruddersaddle_serving/tests/test_upstream_shares.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_upstream_quotas.py
@@ -21,7 +21,12 @@
 from ruddersaddle_serving.trackers import Tracker, Trackers
 from ruddersaddle_serving.upstream_entries import Heartbeat, UpstreamEntry
 from ruddersaddle_serving.upstream_lists import UpstreamList
-from ruddersaddle_serving.upstream_shares import JOIN_S, WINDOW_S, UpstreamShares, share_out
+from ruddersaddle_serving.upstream_quotas import (
+    JOIN_GRACE_S,
+    WINDOW_S,
+    UpstreamQuotas,
+    compute_quota,
+)
 
 HALL = HallId("h")
 POOL = PoolId("p")
@@ -47,7 +52,7 @@
     @given(strategies.floats(0.05, 200.0), strategies.integers(1, 500))
     def test_shares_add_up_to_what_a_cold_upstream_bears(self, per_s: float, hosts: int) -> None:
         ranked = names(hosts)
-        shares = [share_out(per_s, ranked, host) for host in ranked]
+        shares = [compute_quota(per_s, ranked, host) for host in ranked]
         total = sum(each.requests / each.window_s for each in shares)
         self.assertLessEqual(total, per_s + 1e-9)
         self.assertGreater(total, 0)
@@ -62,7 +67,7 @@
         ):
             with self.subTest(per_s=per_s, hosts=hosts):
                 ranked = names(hosts)
-                shares = [share_out(per_s, ranked, host).requests for host in ranked]
+                shares = [compute_quota(per_s, ranked, host).requests for host in ranked]
                 self.assertEqual(sum(share > 0 for share in shares), holders)
                 self.assertEqual(max(shares), each)
 
@@ -72,7 +77,7 @@
 
     def __init__(self, per_s: float, known_by_host: dict[str, list[str]]) -> None:
         self.upstream = UpstreamEntry(UpstreamId("u"), POOL, "10.0.0.1:80", HALL, 64, False, {}, 1)
-        self.shares: list[UpstreamShares] = []
+        self.shares: list[UpstreamQuotas] = []
         self.trackers: list[Tracker] = []
         for host, known in known_by_host.items():
             hosts = Hosts(HostId(host), HostRecord(f"{host}:1", HALL), [])
@@ -81,7 +86,7 @@
             publications.take(Published(1, pools=(Pool(POOL, None, COLD_S, per_s),)))
             upstreams = UpstreamList()
             upstreams.put(self.upstream)
-            self.shares.append(UpstreamShares(hosts, publications, upstreams))
+            self.shares.append(UpstreamQuotas(hosts, publications, upstreams))
             self.trackers.append(Trackers().at(self.upstream))
 
     def turn_cold(self, cold_s: float = COLD_S) -> None:
@@ -115,7 +120,7 @@
         for per_s, count in ((18.0, 71), (4.0, 400), (18.0, 6)):
             with self.subTest(per_s=per_s, hosts=count):
                 fleet = Fleet(per_s, dict.fromkeys(names(count), names(count)))
-                self.now += JOIN_S
+                self.now += JOIN_GRACE_S
                 fleet.turn_cold()
                 most = self.most_in_a_second(fleet)
                 self.assertLessEqual(most, bound(per_s))
@@ -129,27 +134,27 @@
                 known = dict.fromkeys(old, [*old, *new[:known_of_new]])
                 known |= dict.fromkeys(new, [*old, *new])
                 fleet = Fleet(18.0, known)
-                self.now += JOIN_S
+                self.now += JOIN_GRACE_S
                 fleet.turn_cold()
                 self.assertLessEqual(self.most_in_a_second(fleet), bound(18.0))
 
     def test_host_that_has_just_started_has_no_share(self) -> None:
         fleet = Fleet(18.0, {"host-0": ["host-0"]})
         fleet.turn_cold(60.0)
-        self.now += JOIN_S / 2
+        self.now += JOIN_GRACE_S / 2
         self.assertEqual(fleet.send(), 0)
-        self.now += JOIN_S
+        self.now += JOIN_GRACE_S
         self.assertEqual(fleet.send(), 18)
 
     def test_one_host_alone_keeps_a_large_bound(self) -> None:
         fleet = Fleet(400.0, {"host-0": ["host-0"]})
-        self.now += JOIN_S
+        self.now += JOIN_GRACE_S
         fleet.turn_cold()
         self.assertEqual(fleet.send(), 400)
 
     def test_what_left_before_it_turned_cold_counts(self) -> None:
         fleet = Fleet(18.0, {"host-0": ["host-0"]})
-        self.now += JOIN_S
+        self.now += JOIN_GRACE_S
         for _ in range(30):
             fleet.shares[0].record_sent(fleet.trackers[0])
         fleet.turn_cold()
@@ -193,7 +198,7 @@
 
     def start(self, limit_per_s: float, hosts: int) -> Fleet:
         fleet = Fleet(0.0, dict.fromkeys(names(hosts), names(hosts)))
-        self.now += JOIN_S
+        self.now += JOIN_GRACE_S
         self.tell(fleet, limit_per_s)
         return fleet
 
@@ -231,7 +236,7 @@
     def test_lower_of_cold_and_limit_holds(self) -> None:
         for limit_per_s, cold_per_s in ((2.0, 18.0), (18.0, 2.0)):
             fleet = Fleet(cold_per_s, {"host-0": ["host-0"]})
-            self.now += JOIN_S
+            self.now += JOIN_GRACE_S
             fleet.turn_cold()
             self.tell(fleet, limit_per_s)
             self.assertEqual(fleet.send(), 2)
--- a/libs/serving/ruddersaddle_serving/upstream_shares.py
+++ b/libs/serving/ruddersaddle_serving/upstream_quotas.py
@@ -25,22 +25,22 @@
 
 WINDOW_S = 1.05
 """Requests are counted over this long: a second, and what they may differ by on their way."""
-JOIN_S = 3.0
+JOIN_GRACE_S = 3.0
 """A host has no shares for this long after it first knew the list of hosts. By then the others know
 of it, too; before, its list may lack those that started beside it."""
 
 
-class Allowance(msgspec.Struct, frozen=True):
+class Quota(msgspec.Struct, frozen=True):
     """What one host may send to one upstream: so many requests in so many seconds."""
 
     requests: int
     window_s: float
 
 
-NOTHING = Allowance(0, WINDOW_S)
+NO_QUOTA = Quota(0, WINDOW_S)
 
 
-def share_out(per_s: float, ranked_hosts: list[str], host: str) -> Allowance:
+def compute_quota(per_s: float, ranked_hosts: list[str], host: str) -> Quota:
     """Return a host's share of what an upstream bears.
 
     `ranked_hosts` are all hosts in the order that belongs to the upstream. As many of them as it
@@ -48,14 +48,14 @@
     """
     if per_s < 1.0:
         alone = bool(ranked_hosts) and ranked_hosts[0] == host
-        return Allowance(1, WINDOW_S / per_s) if alone and per_s > 0 else NOTHING
+        return Quota(1, WINDOW_S / per_s) if alone and per_s > 0 else NO_QUOTA
     holders = ranked_hosts[: math.floor(per_s)]
     if host not in holders:
-        return NOTHING
-    return Allowance(math.floor(per_s / len(holders)), WINDOW_S)
+        return NO_QUOTA
+    return Quota(math.floor(per_s / len(holders)), WINDOW_S)
 
 
-class UpstreamShares:
+class UpstreamQuotas:
     """Which upstreams bear few requests, and what this host may send to them."""
 
     def __init__(self, hosts: Hosts, publications: Publications, upstreams: UpstreamList) -> None:
@@ -95,8 +95,8 @@
         per_s = self.bound_per_s(tracker)
         if per_s is None:
             return True
-        allowance = self._allowance(tracker, per_s)
-        return tracker.sends.count_since(clocks.now_s() - allowance.window_s) < allowance.requests
+        quota = self._quota(tracker, per_s)
+        return tracker.sends.count_since(clocks.now_s() - quota.window_s) < quota.requests
 
     def bound_per_s(self, tracker: Tracker) -> float | None:
         """Return what an upstream bears a second of all hosts now; None where nothing bounds it."""
@@ -120,10 +120,10 @@
         table = self.publications.table
         return None if table is None else table.pool_by_id.get(tracker.entry.pool)
 
-    def _allowance(self, tracker: Tracker, per_s: float) -> Allowance:
-        if clocks.now_s() < self.hosts.known_at + JOIN_S:
-            return NOTHING
-        return share_out(per_s, self._rank(tracker.entry.start), self.hosts.own_id)
+    def _quota(self, tracker: Tracker, per_s: float) -> Quota:
+        if clocks.now_s() < self.hosts.known_at + JOIN_GRACE_S:
+            return NO_QUOTA
+        return compute_quota(per_s, self._rank(tracker.entry.start), self.hosts.own_id)
 
     def _rank(self, start: UpstreamStart) -> list[str]:
         if self._ranked_digest != self.hosts.digest:
