--- a/libs/serving/ruddersaddle_serving/context_stores.py
+++ b/libs/serving/ruddersaddle_serving/context_stores.py
@@ -49,7 +49,7 @@
         self.spec = spec
         self.token_bytes = TOKEN_BYTES
         self.epoch: int | None = None
-        self.next = 0
+        self.next_event = 0
         self.confirmed_at = float("-inf")
         self.epoch_seen_at = float("-inf")
         self.lost_at = float("-inf")
@@ -71,7 +71,7 @@
         oldest_at = max(self.lost_at, clocks.now_s() - TRUST_S)
         return self.confirmed_at > oldest_at and self.knows_clock
 
-    def note_lost(self) -> None:
+    def record_lost(self) -> None:
         """Fetch nothing until the store has answered a question that was asked after this.
 
         An engine that fetches from a store that is gone notices after about 0.3 s. While the young
@@ -80,7 +80,7 @@
         """
         self.lost_at = clocks.now_s()
 
-    def note_answer(self, failure: Failure | None) -> None:
+    def record_answer(self, failure: Failure | None) -> None:
         """Tell once that the store is lost or regained."""
         if (failure is not None) == self.is_lost:
             return
@@ -91,7 +91,7 @@
             logger.warning("Store %s is lost. %s", self.spec.id, failure.detail)
 
     @property
-    def takes_saves(self) -> bool:
+    def accepts_saves(self) -> bool:
         """Whether parts may be saved here now."""
         settled = clocks.now_s() - self.epoch_seen_at > QUIET_S
         return self.is_trusted and settled
@@ -100,7 +100,7 @@
         """Whether so many tokens fit."""
         return self.used_tokens + tokens + BLOCK_TOKENS <= self.spec.capacity_tokens * FULL_SHARE
 
-    def move_s(self, tokens: int, hall: HallId) -> float:
+    def transfer_s(self, tokens: int, hall: HallId) -> float:
         """Return about how long moving so many tokens to or from an engine in a hall takes."""
         ways = 1.0 if hall == self.spec.hall else OTHER_HALL_FACTOR
         return self.spec.first_s + MOVE_WAIT_FACTOR * ways * self.link_s(tokens)
@@ -109,7 +109,7 @@
         """Return how long the store's link is taken by so many tokens, in seconds."""
         return tokens * self.token_bytes * 8 / (self.spec.link_mbps * 1e6)
 
-    def put(self, change: StoreChange) -> None:
+    def apply(self, change: StoreChange) -> None:
         """Take that a part is whole, or gone."""
         key = (change.salt, change.part)
         self.used_tokens -= _round_up(self.tokens_by_part.pop(key, 0))
@@ -119,7 +119,7 @@
         self.revision += 1
         self._recent.append((self.revision, change))
 
-    def note_broken(self, parts: Iterable[StoreChange]) -> None:
+    def record_broken(self, parts: Iterable[StoreChange]) -> None:
         """Take the parts whose saving broke off: they keep their room and can't be fetched."""
         self.used_tokens += sum(_round_up(part.tokens) for part in parts)
 
@@ -149,7 +149,7 @@
             self.epoch_seen_at = float("-inf") if is_settled else clocks.now_s()
             logger.info("Store %s is at epoch %s, before %s.", self.spec.id, epoch, self.epoch)
         self.epoch = epoch
-        self.next = next_number
+        self.next_event = next_number
         self.forget()
 
     def forget(self) -> None:
@@ -159,7 +159,7 @@
         self._recent.clear()
         self.revision += 1
 
-    def note_clock(self, clock_ms: int | None) -> None:
+    def record_clock(self, clock_ms: int | None) -> None:
         """Learn the engines' clock; it is never estimated ahead of itself."""
         if clock_ms is None:
             return
--- a/libs/serving/ruddersaddle_serving/entry_hosts.py
+++ b/libs/serving/ruddersaddle_serving/entry_hosts.py
@@ -123,7 +123,7 @@
         self.shares = UpstreamQuotas(self.hosts, self.publications, self.upstreams)
         self.kept = KeptParts(engines)
         self.budget = RetryBudget(settings.number("bounds.retry_share") * BUDGET_SHARE)
-        self.publications.listeners += [self.trackers.take_table, self.kept.take_table]
+        self.publications.listeners += [self.trackers.take_table, self.kept.apply_table]
         self.crash_records = CrashRecords()
         self.crashes = CrashWatch(
             engines,
--- a/libs/serving/ruddersaddle_serving/kept_parts.py
+++ b/libs/serving/ruddersaddle_serving/kept_parts.py
@@ -50,12 +50,12 @@
         self.by_id: dict[StoreId, KeptStore] = {}
         self._saving_until: dict[tuple[str, PartId], float] = {}
         self.counts = {"fetches": 0, "saves": 0, "listings": 0, "freed": 0}
-        self.watches: Callable[[ContextStore], bool] = lambda spec: True
+        self.polls_directly: Callable[[ContextStore], bool] = lambda spec: True
         """Whether this host asks a store itself, or is told by another host."""
-        self.tell_lost: Callable[[StoreId], None] = lambda store: None
+        self.broadcast_lost: Callable[[StoreId], None] = lambda store: None
         """Tells the hosts that rely on this one's questions that a store refuses them."""
 
-    def take_table(self, table: RouteTable) -> None:
+    def apply_table(self, table: RouteTable) -> None:
         """Take the stores of a configuration."""
         wanted = {spec.id: spec for spec in table.published.stores}
         engines = [pool.engine for pool in table.published.pools if pool.engine is not None]
@@ -81,13 +81,13 @@
     def start_followers(self) -> None:
         """Begin to follow the stores that this host asks itself and doesn't follow yet."""
         for kept in self.by_id.values():
-            if not kept.is_followed and self.watches(kept.spec):
+            if not kept.is_followed and self.polls_directly(kept.spec):
                 kept.is_followed = True
                 spawn_forever(f"store {kept.spec.id}", self._follow, kept)
 
     def _follow(self, kept: KeptStore) -> None:
         """Follow a store as long as it is configured and this host is one that asks it."""
-        while self.by_id.get(kept.spec.id) is kept and self.watches(kept.spec):
+        while self.by_id.get(kept.spec.id) is kept and self.polls_directly(kept.spec):
             eventlet.sleep(self.follow_once(kept))
         kept.is_followed = False
 
@@ -100,34 +100,34 @@
             # The kept connection broke; a store that lives takes a new one.
             asked_at = clocks.now_s()
             failure = self._read(kept)
-        kept.note_answer(failure)
+        kept.record_answer(failure)
         if failure is not None:
-            self._note_failure(kept, failure)
+            self._handle_failure(kept, failure)
             return RETRY_S
         kept.confirmed_at = asked_at
         return EVENTS_PAUSE_S if kept.revision != revision else 0.0
 
-    def _note_failure(self, kept: KeptStore, failure: Failure) -> None:
+    def _handle_failure(self, kept: KeptStore, failure: Failure) -> None:
         """Stop fetching from a store that takes no connection, here and where this host tells."""
         if failure.step is not Step.CONNECT:
             return
-        kept.note_lost()
-        self.tell_lost(kept.spec.id)
+        kept.record_lost()
+        self.broadcast_lost(kept.spec.id)
 
     def _read(self, kept: KeptStore) -> Failure | None:
         if kept.epoch is None:
             return self._list(kept)
         # The first answer brings the engines' clock, without which nothing is fetched.
         wait_s = FOLLOW_WAIT_S if kept.knows_clock else 0.0
-        page = self.engines.store_changes(kept.spec, kept.next, wait_s)
+        page = self.engines.store_changes(kept.spec, kept.next_event, wait_s)
         if isinstance(page, Failure):
             return page
         if page.epoch != kept.epoch or page.gap:
             return self._list(kept)
         for change in page.changes:
-            kept.put(change)
-        kept.next = page.next
-        kept.note_clock(page.clock_ms)
+            kept.apply(change)
+        kept.next_event = page.next
+        kept.record_clock(page.clock_ms)
         return None
 
     def _list(self, kept: KeptStore) -> Failure | None:
@@ -138,8 +138,8 @@
             return listing
         kept.reset(listing.epoch, listing.next, bool(listing.whole))
         for part in listing.whole:
-            kept.put(part)
-        kept.note_broken(listing.broken)
+            kept.apply(part)
+        kept.record_broken(listing.broken)
         return None
 
     def find_holders(self, salt: str, prompt: Prompt) -> list[KeptStore | None]:
@@ -192,7 +192,7 @@
         key = (salt, part.id)
         if self._saving_until.get(key, 0.0) > now:
             return None
-        open_stores = [kept for kept in self.by_id.values() if kept.takes_saves]
+        open_stores = [kept for kept in self.by_id.values() if kept.accepts_saves]
         fitting = [kept for kept in open_stores if kept.has_room(part.tokens)]
         if not fitting:
             return None
@@ -202,7 +202,7 @@
         is_large = slowest.link_s(part.tokens) > slowest.spec.first_s
         tier = -1.0 if is_large else 1.0
         chosen = self._spread(fitting, part, tier, hall)
-        self._note_saving(key, now)
+        self._record_saving(key, now)
         return chosen.spec.address
 
     def _spread(self, fitting: list[KeptStore], part: Part, tier: float, hall: HallId) -> KeptStore:
@@ -213,12 +213,12 @@
         """
         best = min(tier * kept.spec.first_s for kept in fitting)
         alike = [kept for kept in fitting if tier * kept.spec.first_s == best]
-        quickest_s = min(kept.move_s(part.tokens, hall) for kept in alike)
-        alike = [kept for kept in alike if kept.move_s(part.tokens, hall) <= quickest_s]
+        quickest_s = min(kept.transfer_s(part.tokens, hall) for kept in alike)
+        alike = [kept for kept in alike if kept.transfer_s(part.tokens, hall) <= quickest_s]
         by_id = {kept.spec.id: kept for kept in alike}
         return by_id[rank_names(part.id, by_id)[0]]
 
-    def _note_saving(self, key: tuple[str, PartId], now: float) -> None:
+    def _record_saving(self, key: tuple[str, PartId], now: float) -> None:
         self._saving_until[key] = now + SAVING_S
         if len(self._saving_until) > SAVING_MAX:
             live = {each: until for each, until in self._saving_until.items() if until > now}
--- a/libs/serving/ruddersaddle_serving/neighbours.py
+++ b/libs/serving/ruddersaddle_serving/neighbours.py
@@ -341,7 +341,7 @@
     def _note_store_lost(self, message: StoreLost) -> None:
         kept = self.kept.by_id.get(message.store)
         if kept is not None:
-            kept.note_lost()
+            kept.record_lost()
 
     # Engines that are to load weights
 
--- a/libs/serving/ruddersaddle_serving/part_news.py
+++ b/libs/serving/ruddersaddle_serving/part_news.py
@@ -36,7 +36,7 @@
     age_s: float
     clock_ms: float
     used_tokens: int
-    is_whole: bool
+    is_complete: bool
     changes: tuple[StoreChange, ...]
 
 
@@ -73,23 +73,23 @@
     return StoreNews(
         store=store.spec.id,
         epoch=store.epoch,
-        next=store.next,
+        next=store.next_event,
         revision=store.revision,
         age_s=clocks.now_s() - store.confirmed_at,
         clock_ms=store.clock_ms,
         used_tokens=store.used_tokens,
-        is_whole=changes is None,
+        is_complete=changes is None,
         changes=store.listing() if changes is None else changes,
     )
 
 
 def take_store(store: KeptStore, news: StoreNews, asked_at: float) -> None:
     """Take what a peer told, dated from when the question left."""
-    if news.is_whole or news.epoch != store.epoch:
+    if news.is_complete or news.epoch != store.epoch:
         store.reset(news.epoch, news.next, bool(news.changes))
     for change in news.changes:
-        store.put(change)
-    store.next = news.next
+        store.apply(change)
+    store.next_event = news.next
     store.used_tokens = news.used_tokens
-    store.note_clock(int(news.clock_ms))
+    store.record_clock(int(news.clock_ms))
     store.confirmed_at = max(store.confirmed_at, asked_at - news.age_s)
--- a/libs/serving/ruddersaddle_serving/part_relays.py
+++ b/libs/serving/ruddersaddle_serving/part_relays.py
@@ -25,20 +25,20 @@
     """Keeps the listings of stores young from the hall's reader."""
 
     def __init__(self, kept: KeptParts, neighbours: Neighbours) -> None:
-        self.kept = kept
+        self.cached_parts = kept
         self.neighbours = neighbours
         self._revision_by_source: dict[tuple[str, str], int] = {}
 
     def start(self) -> None:
         """Start the task."""
-        self.kept.watches = self.watches
-        self.kept.tell_lost = self.neighbours.tell_store_lost
+        self.cached_parts.polls_directly = self.polls_directly
+        self.cached_parts.broadcast_lost = self.neighbours.tell_store_lost
         # Waiting for the next look instead, hosts that had all been lost fetched nothing for their
         # first second, and read 140,000 of 300,000 tokens of a day again in it.
-        self.neighbours.list.listeners.append(self.kept.start_followers)
+        self.neighbours.list.listeners.append(self.cached_parts.start_followers)
         spawn_forever("parts", self._run)
 
-    def watches(self, spec: ContextStore) -> bool:
+    def polls_directly(self, spec: ContextStore) -> bool:
         """Return whether this host asks a store itself: all do while they are few enough."""
         hosts = self.neighbours.hosts
         if not hosts.is_known:
@@ -50,7 +50,7 @@
     def _run(self) -> None:
         while True:
             eventlet.sleep(self._pause_s)
-            told = [spec for spec in self._specs() if not self.watches(spec)]
+            told = [spec for spec in self._specs() if not self.polls_directly(spec)]
             if told:
                 self._ask(told)
             else:
@@ -59,11 +59,11 @@
 
     @property
     def _pause_s(self) -> float:
-        is_listed = all(kept.epoch is not None for kept in self.kept.by_id.values())
+        is_listed = all(kept.epoch is not None for kept in self.cached_parts.by_id.values())
         return ASK_PAUSE_S if is_listed else START_PAUSE_S
 
     def _specs(self) -> list[ContextStore]:
-        return [kept.spec for kept in self.kept.by_id.values()]
+        return [kept.spec for kept in self.cached_parts.by_id.values()]
 
     def _ask(self, specs: list[ContextStore]) -> None:
         reader = self.neighbours.hosts.hall_reader()
@@ -80,7 +80,7 @@
             key: revision for key, revision in self._revision_by_source.items() if key[0] == reader
         }
         for news in answer.stores:
-            store = self.kept.by_id.get(news.store)
+            store = self.cached_parts.by_id.get(news.store)
             if store is not None:
                 take_store(store, news, asked_at)
                 self._revision_by_source[reader, news.store] = news.revision
--- a/libs/serving/ruddersaddle_serving/replaced_parts.py
+++ b/libs/serving/ruddersaddle_serving/replaced_parts.py
@@ -46,7 +46,7 @@
         self.upstreams = upstreams
         self.trackers = trackers
         self.neighbours = neighbours
-        self.kept = kept
+        self.cached_parts = kept
         self.stopping = False
         self._oldest_by_model: dict[ModelId, tuple[int, float]] = {}
         """Oldest weights that an engine has, and since when no engine has older ones."""
@@ -68,7 +68,7 @@
             return
         if place_in_line(f"free/{model}", self.neighbours) > 0:
             return
-        for kept in self.kept.by_id.values():
+        for kept in self.cached_parts.by_id.values():
             if kept.is_trusted:
                 self._free_at(kept, model, version)
 
@@ -96,11 +96,11 @@
         parts = kept.parts_before(model, version)[:FREE_BATCH]
         if not parts:
             return
-        failure = self.kept.engines.free(kept.spec, kept.epoch, parts)
+        failure = self.cached_parts.engines.free(kept.spec, kept.epoch, parts)
         if failure is not None:
             logger.info("Parts at %s were not freed. %s", kept.spec.id, failure.detail)
             return
-        self.kept.counts["freed"] += len(parts)
+        self.cached_parts.counts["freed"] += len(parts)
         logger.info("Freed %d parts of weights before %d at %s.", len(parts), version, kept.spec.id)
         for part in parts:
-            kept.put(part)
+            kept.apply(part)
--- a/libs/serving/ruddersaddle_serving/tests/test_kept_parts.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_kept_parts.py
@@ -34,7 +34,7 @@
         for spec in (FAST, SLOW):
             store = self.kept.by_id[spec.id] = KeptStore(spec)
             store.reset(1, 0)
-            store.note_clock(5_000)
+            store.record_clock(5_000)
         self.now += 10.0
         self.confirm()
 
@@ -47,7 +47,7 @@
         return self.kept.plan("m/1", PROMPT, holders, HALL)
 
     def put(self, store: ContextStore, part: Part) -> None:
-        self.kept.by_id[store.id].put(StoreChange("m/1", part.id, part.tokens))
+        self.kept.by_id[store.id].apply(StoreChange("m/1", part.id, part.tokens))
 
     def test_small_parts_go_to_fast_stores_and_large_ones_to_slow_ones(self) -> None:
         expected = Transfer("m/1", (None,) * 3, (FAST.address, SLOW.address, None), 0)
@@ -80,7 +80,7 @@
         self.assertEqual(plan, Transfer("m/1", (None,) * 3, (None,) * 3, 0))
 
     def test_part_of_a_shorter_length_is_not_whole(self) -> None:
-        self.kept.by_id[FAST.id].put(StoreChange("m/1", SMALL.id, SMALL.tokens - 1))
+        self.kept.by_id[FAST.id].apply(StoreChange("m/1", SMALL.id, SMALL.tokens - 1))
         self.assertEqual(self.kept.find_holders("m/1", PROMPT), [None, None])
 
     def test_listing_that_is_not_confirmed_is_not_trusted(self) -> None:
@@ -94,7 +94,7 @@
     def follow(self, *answers: Failure | StoreChanges) -> list[StoreId]:
         """Ask the fast store, which answers so; return of which stores the loss is told."""
         told: list[StoreId] = []
-        self.kept.tell_lost = told.append
+        self.kept.broadcast_lost = told.append
         self.kept.engines.store_changes.side_effect = answers
         self.kept.follow_once(self.kept.by_id[FAST.id])
         return told
@@ -136,11 +136,11 @@
 
     def test_time_of_a_move_follows_the_configured_size_of_tokens(self) -> None:
         engines = [Engine(8, 1000, (MODEL,), token_bytes=size) for size in (10_000, 30_000)]
-        self.kept.watches = lambda spec: False
+        self.kept.polls_directly = lambda spec: False
         times = []
         for engine in engines:
             pools = (Pool(PoolId("p"), engine),)
-            self.kept.take_table(RouteTable(Published(1, pools=pools, stores=(FAST,))))
+            self.kept.apply_table(RouteTable(Published(1, pools=pools, stores=(FAST,))))
             times.append(self.kept.by_id[FAST.id].link_s(1000))
         self.assertAlmostEqual(times[1] / times[0], 3.0)
 
@@ -157,7 +157,7 @@
             spec = ContextStore(name, f"10.1.0.{number}:1", HALL, 20_000, 310_000.0, 0.0005, 8)
             store = self.kept.by_id[name] = KeptStore(spec)
             store.reset(1, 0)
-            store.note_clock(5_000)
+            store.record_clock(5_000)
         self.now += 10.0
         self.confirm()
         places = {
--- a/libs/serving/ruddersaddle_serving/tests/test_part_news.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_part_news.py
@@ -22,13 +22,13 @@
         self.reader = KeptParts(mock.Mock())
         self.read = self.reader.by_id[SPEC.id] = KeptStore(SPEC)
         self.read.reset(7, 40)
-        self.read.note_clock(9_000)
+        self.read.record_clock(9_000)
         self.read.confirmed_at = self.now
         self.told = KeptStore(SPEC)
         self.revision = -1
 
     def put(self, name: str, tokens: int) -> None:
-        self.read.put(StoreChange("m/1", PartId(name), tokens))
+        self.read.apply(StoreChange("m/1", PartId(name), tokens))
 
     def ask(self, way_s: float = 0.0) -> PartsNews:
         """Ask and take the answer, each way taking `way_s`."""
@@ -46,11 +46,11 @@
 
     def test_first_answer_is_whole_and_later_ones_are_changes(self) -> None:
         self.put("a", 10)
-        self.assertTrue(self.ask().stores[0].is_whole)
+        self.assertTrue(self.ask().stores[0].is_complete)
         self.put("b", 20)
         self.put("a", 0)
         second = self.ask().stores[0]
-        self.assertEqual((second.is_whole, len(second.changes)), (False, 2))
+        self.assertEqual((second.is_complete, len(second.changes)), (False, 2))
         self.assertEqual(self.parts(), {"b": 20})
         self.assertEqual(self.told.used_tokens, self.read.used_tokens)
         self.assertEqual(self.ask().stores[0].changes, ())
@@ -60,7 +60,7 @@
         for number in range(RECENT_MAX + 1):
             self.put(str(number % 5), 10 + number)
         news = self.ask().stores[0]
-        self.assertEqual((news.is_whole, len(news.changes)), (True, 5))
+        self.assertEqual((news.is_complete, len(news.changes)), (True, 5))
 
     def test_restart_of_the_store_drops_what_was_known_and_saves_nothing_at_first(self) -> None:
         self.put("a", 10)
@@ -70,13 +70,13 @@
         self.read.confirmed_at = self.now
         self.ask()
         self.assertEqual((self.parts(), self.told.epoch), ({}, 8))
-        self.assertFalse(self.told.takes_saves)
+        self.assertFalse(self.told.accepts_saves)
 
     def test_answer_from_before_the_loss_of_a_store_does_not_restore_it(self) -> None:
         asked_at = self.now
         news = tell_parts(self.reader, AskParts((Position(SPEC.id, -1),)))
         self.now += 0.01
-        self.told.note_lost()
+        self.told.record_lost()
         take_store(self.told, news.stores[0], asked_at)
         self.assertFalse(self.told.is_trusted)
         self.now += 0.1
--- a/libs/serving/ruddersaddle_serving/tests/test_part_relays.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_part_relays.py
@@ -41,7 +41,7 @@
         )
         PartRelay(kept, neighbours).start()
         kept.start()
-        kept.take_table(RouteTable(Published(1, stores=(SPEC,))))
+        kept.apply_table(RouteTable(Published(1, stores=(SPEC,))))
         eventlet.sleep(0.01)
         engines.store_listing.assert_not_called()
         neighbours.list.take({HostId("b"): HostRecord("10.0.0.3:1", HALL)})
--- a/libs/serving/ruddersaddle_serving/tests/test_replaced_parts.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_replaced_parts.py
@@ -36,9 +36,9 @@
         self.kept = KeptParts(self.engines)
         self.store = self.kept.by_id[SPEC.id] = KeptStore(SPEC)
         self.store.reset(1, 0)
-        self.store.note_clock(5_000)
+        self.store.record_clock(5_000)
         for part in (OLD_PART, NEW_PART):
-            self.store.put(part)
+            self.store.apply(part)
         neighbours = mock.Mock(live_hosts=["a"], address="a")
         self.replaced = ReplacedParts(
             self.publications, self.upstreams, self.trackers, neighbours, self.kept
--- a/libs/serving/ruddersaddle_serving/weighings.py
+++ b/libs/serving/ruddersaddle_serving/weighings.py
@@ -149,5 +149,5 @@
         if holder is None:
             break
         fetched += part.tokens
-        fetch_s += holder.move_s(part.tokens, hall)
+        fetch_s += holder.transfer_s(part.tokens, hall)
     return fetched, fetch_s
