--- a/libs/base/ruddersaddle_base/loggers.py
+++ b/libs/base/ruddersaddle_base/loggers.py
@@ -28,7 +28,7 @@
     "store_followers": "store",
     "fence_leases": "lease",
     "weight_rollouts": "weights",
-    "kept_parts": "kept",
+    "cached_parts": "kept",
     "neighbours": "peer",
     "hosts": "peer",
     "load_shares": "peer",
--- a/libs/serving/ruddersaddle_serving/kept_parts.py
+++ b/libs/serving/ruddersaddle_serving/cached_parts.py
@@ -16,7 +16,7 @@
 from ruddersaddle_base.ids import HallId, ModelId, StoreId, WorkspaceId
 from ruddersaddle_routing.rendezvous import rank_names
 
-from ruddersaddle_serving.context_stores import TOKEN_BYTES, KeptStore
+from ruddersaddle_serving.context_stores import TOKEN_BYTES, StoreView
 from ruddersaddle_serving.ports import Engines, Transfer
 from ruddersaddle_serving.prompts import Part, PartId, Prompt
 from ruddersaddle_serving.routes import ContextStore, RouteTable
@@ -42,12 +42,12 @@
 """Pause of a host that is told of stores until it looks again whether it should ask."""
 
 
-class KeptParts:
+class CachedParts:
     """All context stores, by id, with a task that follows each."""
 
     def __init__(self, engines: Engines) -> None:
         self.engines = engines
-        self.by_id: dict[StoreId, KeptStore] = {}
+        self.by_id: dict[StoreId, StoreView] = {}
         self._saving_until: dict[tuple[str, PartId], float] = {}
         self.counts = {"fetches": 0, "saves": 0, "listings": 0, "freed": 0}
         self.polls_directly: Callable[[ContextStore], bool] = lambda spec: True
@@ -65,7 +65,7 @@
         for spec in wanted.values():
             known = self.by_id.get(spec.id)
             if known is None or known.spec.address != spec.address:
-                self.by_id[spec.id] = KeptStore(spec)
+                self.by_id[spec.id] = StoreView(spec)
             self.by_id[spec.id].token_bytes = token_bytes
         self.start_followers()
 
@@ -85,13 +85,13 @@
                 kept.is_followed = True
                 spawn_forever(f"store {kept.spec.id}", self._follow, kept)
 
-    def _follow(self, kept: KeptStore) -> None:
+    def _follow(self, kept: StoreView) -> None:
         """Follow a store as long as it is configured and this host is one that asks it."""
         while self.by_id.get(kept.spec.id) is kept and self.polls_directly(kept.spec):
             eventlet.sleep(self.follow_once(kept))
         kept.is_followed = False
 
-    def follow_once(self, kept: KeptStore) -> float:
+    def follow_once(self, kept: StoreView) -> float:
         """Ask a store for what has changed; return the pause until the next question."""
         asked_at = clocks.now_s()
         revision = kept.revision
@@ -107,14 +107,14 @@
         kept.confirmed_at = asked_at
         return EVENTS_PAUSE_S if kept.revision != revision else 0.0
 
-    def _handle_failure(self, kept: KeptStore, failure: Failure) -> None:
+    def _handle_failure(self, kept: StoreView, failure: Failure) -> None:
         """Stop fetching from a store that takes no connection, here and where this host tells."""
         if failure.step is not Step.CONNECT:
             return
         kept.record_lost()
         self.broadcast_lost(kept.spec.id)
 
-    def _read(self, kept: KeptStore) -> Failure | None:
+    def _read(self, kept: StoreView) -> Failure | None:
         if kept.epoch is None:
             return self._list(kept)
         # The first answer brings the engines' clock, without which nothing is fetched.
@@ -130,7 +130,7 @@
         kept.record_clock(page.clock_ms)
         return None
 
-    def _list(self, kept: KeptStore) -> Failure | None:
+    def _list(self, kept: StoreView) -> Failure | None:
         self.counts["listings"] += 1
         listing = self.engines.store_listing(kept.spec)
         if isinstance(listing, Failure):
@@ -142,7 +142,7 @@
         kept.record_broken(listing.broken)
         return None
 
-    def find_holders(self, salt: str, prompt: Prompt) -> list[KeptStore | None]:
+    def find_holders(self, salt: str, prompt: Prompt) -> list[StoreView | None]:
         """Return for each shared part a store that has it whole, or None.
 
         What is fetched doesn't depend on what operators published: while the metadata store was
@@ -156,7 +156,7 @@
         self,
         salt: str,
         prompt: Prompt,
-        holders: list[KeptStore | None],
+        holders: list[StoreView | None],
         hall: HallId,
         covered_tokens: int = 0,
         may_save: bool = True,
@@ -205,7 +205,7 @@
         self._record_saving(key, now)
         return chosen.spec.address
 
-    def _spread(self, fitting: list[KeptStore], part: Part, tier: float, hall: HallId) -> KeptStore:
+    def _spread(self, fitting: list[StoreView], part: Part, tier: float, hall: HallId) -> StoreView:
         """Return the store for a part among those of the best tier.
 
         Stores that are alike share the parts by rendezvous hash, so that each of their links and
@@ -231,7 +231,7 @@
     return salt if workspace is None else f"{salt}/{workspace}"
 
 
-def _find_holder(stores: list[KeptStore], salt: str, part: Part) -> KeptStore | None:
+def _find_holder(stores: list[StoreView], salt: str, part: Part) -> StoreView | None:
     for kept in stores:
         if kept.tokens_by_part.get((salt, part.id), 0) >= part.tokens:
             return kept
--- a/libs/serving/ruddersaddle_serving/context_stores.py
+++ b/libs/serving/ruddersaddle_serving/context_stores.py
@@ -42,7 +42,7 @@
 parts a second are saved to all stores together."""
 
 
-class KeptStore:
+class StoreView:
     """One context store as this host knows it."""
 
     def __init__(self, spec: ContextStore) -> None:
--- a/libs/serving/ruddersaddle_serving/entry_hosts.py
+++ b/libs/serving/ruddersaddle_serving/entry_hosts.py
@@ -18,6 +18,7 @@
 from ruddersaddle_base.settings import Settings
 from ruddersaddle_routing.retries import RetryBudget
 
+from ruddersaddle_serving.cached_parts import CachedParts
 from ruddersaddle_serving.caller_listeners import LastingListener, find_room
 from ruddersaddle_serving.caller_pools import CallerPool
 from ruddersaddle_serving.caller_protocols import HEAD_MAX, CallerProtocol
@@ -28,7 +29,6 @@
 from ruddersaddle_serving.fronts import Front
 from ruddersaddle_serving.garbage_collections import start_collecting
 from ruddersaddle_serving.hosts import HostRecord, Hosts
-from ruddersaddle_serving.kept_parts import KeptParts
 from ruddersaddle_serving.metric_pages import (
     TEXT_TYPE,
     format_counters,
@@ -121,7 +121,7 @@
         self.trackers = Trackers()
         self.hosts = self._make_hosts(settings)
         self.shares = UpstreamQuotas(self.hosts, self.publications, self.upstreams)
-        self.kept = KeptParts(engines)
+        self.kept = CachedParts(engines)
         self.budget = RetryBudget(settings.number("bounds.retry_share") * BUDGET_SHARE)
         self.publications.listeners += [self.trackers.take_table, self.kept.apply_table]
         self.crash_records = CrashRecords()
--- a/libs/serving/ruddersaddle_serving/neighbours.py
+++ b/libs/serving/ruddersaddle_serving/neighbours.py
@@ -10,11 +10,11 @@
 from ruddersaddle_base.ids import HallId, StoreId
 from ruddersaddle_routing.rendezvous import rank_names
 
+from ruddersaddle_serving.cached_parts import CachedParts
 from ruddersaddle_serving.crash_records import CrashRecords
 from ruddersaddle_serving.crash_shares import OUT_MAX, CrashNews, CrashShares
 from ruddersaddle_serving.host_lists import HostList
 from ruddersaddle_serving.hosts import Hosts
-from ruddersaddle_serving.kept_parts import KeptParts
 from ruddersaddle_serving.load_shares import LoadShares, LoadSums, Notices
 from ruddersaddle_serving.neighbour_messages import (
     AskNews,
@@ -26,7 +26,7 @@
     News,
     Noted,
 )
-from ruddersaddle_serving.part_news import AskParts, StoreLost, tell_parts
+from ruddersaddle_serving.part_updates import AskParts, StoreLost, make_parts_update
 from ruddersaddle_serving.peers import Peers
 from ruddersaddle_serving.ports import (
     MetadataStore,
@@ -74,7 +74,7 @@
         publications: Publications,
         upstreams: UpstreamList,
         trackers: Trackers,
-        kept: KeptParts,
+        kept: CachedParts,
         crashes: CrashRecords,
     ) -> None:
         self.hosts = hosts
@@ -272,7 +272,7 @@
             case CrashNews():
                 self.crashes.take(message)
             case AskParts():
-                return tell_parts(self.kept, message)
+                return make_parts_update(self.kept, message)
             case StoreLost():
                 self._note_store_lost(message)
         return Noted()
--- a/libs/serving/ruddersaddle_serving/part_relays.py
+++ b/libs/serving/ruddersaddle_serving/part_relays.py
@@ -5,9 +5,9 @@
 import eventlet
 from ruddersaddle_base import clocks
 
-from ruddersaddle_serving.kept_parts import SPARE_WATCHERS, KeptParts
+from ruddersaddle_serving.cached_parts import SPARE_WATCHERS, CachedParts
 from ruddersaddle_serving.neighbours import ASK_S, Neighbours
-from ruddersaddle_serving.part_news import AskParts, PartsNews, Position, take_store
+from ruddersaddle_serving.part_updates import AskParts, PartsUpdate, Position, apply_store_update
 from ruddersaddle_serving.routes import ContextStore
 from ruddersaddle_serving.tasks import spawn_forever
 
@@ -24,7 +24,7 @@
 class PartRelay:
     """Keeps the listings of stores young from the hall's reader."""
 
-    def __init__(self, kept: KeptParts, neighbours: Neighbours) -> None:
+    def __init__(self, kept: CachedParts, neighbours: Neighbours) -> None:
         self.cached_parts = kept
         self.neighbours = neighbours
         self._revision_by_source: dict[tuple[str, str], int] = {}
@@ -72,7 +72,7 @@
         )
         asked_at = clocks.now_s()
         answer = self.neighbours.peers.ask(reader, AskParts(positions), ASK_S)
-        if not isinstance(answer, PartsNews):
+        if not isinstance(answer, PartsUpdate):
             logger.info("Reader %s tells nothing of context stores.", reader)
             self.neighbours.hosts.note_silent(reader)
             return
@@ -82,5 +82,5 @@
         for news in answer.stores:
             store = self.cached_parts.by_id.get(news.store)
             if store is not None:
-                take_store(store, news, asked_at)
+                apply_store_update(store, news, asked_at)
                 self._revision_by_source[reader, news.store] = news.revision
--- a/libs/serving/ruddersaddle_serving/part_news.py
+++ b/libs/serving/ruddersaddle_serving/part_updates.py
@@ -4,8 +4,8 @@
 from ruddersaddle_base import clocks
 from ruddersaddle_base.ids import StoreId
 
-from ruddersaddle_serving.context_stores import KeptStore
-from ruddersaddle_serving.kept_parts import KeptParts
+from ruddersaddle_serving.cached_parts import CachedParts
+from ruddersaddle_serving.context_stores import StoreView
 from ruddersaddle_serving.ports import StoreChange
 
 ROWS_MAX = 3000
@@ -25,7 +25,7 @@
     positions: tuple[Position, ...]
 
 
-class StoreNews(msgspec.Struct, frozen=True, array_like=True):
+class StoreUpdate(msgspec.Struct, frozen=True, array_like=True):
     """What changed at one store. `next` continues the store's own events, `clock_ms` is the
     engines' clock when this was told, `age_s` the age of the listing's last confirmation."""
 
@@ -40,10 +40,10 @@
     changes: tuple[StoreChange, ...]
 
 
-class PartsNews(msgspec.Struct, frozen=True, tag="parts_news"):
+class PartsUpdate(msgspec.Struct, frozen=True, tag="parts_news"):
     """Answers with the stores that the peer itself knows well; some may be left for the next."""
 
-    stores: tuple[StoreNews, ...]
+    stores: tuple[StoreUpdate, ...]
 
 
 class StoreLost(msgspec.Struct, frozen=True, tag="store_lost"):
@@ -52,25 +52,25 @@
     store: StoreId
 
 
-def tell_parts(kept: KeptParts, question: AskParts) -> PartsNews:
+def make_parts_update(kept: CachedParts, question: AskParts) -> PartsUpdate:
     """Return what the asker does not know yet."""
-    told: list[StoreNews] = []
+    told: list[StoreUpdate] = []
     rows = 0
     for position in question.positions:
         store = kept.by_id.get(position.store)
         if store is None or not store.is_trusted:
             continue
-        news = _tell_store(store, position.revision)
+        news = _make_store_update(store, position.revision)
         if told and rows + len(news.changes) > ROWS_MAX:
             continue
         rows += len(news.changes)
         told.append(news)
-    return PartsNews(tuple(told))
+    return PartsUpdate(tuple(told))
 
 
-def _tell_store(store: KeptStore, revision: int) -> StoreNews:
+def _make_store_update(store: StoreView, revision: int) -> StoreUpdate:
     changes = store.changes_since(revision)
-    return StoreNews(
+    return StoreUpdate(
         store=store.spec.id,
         epoch=store.epoch,
         next=store.next_event,
@@ -83,7 +83,7 @@
     )
 
 
-def take_store(store: KeptStore, news: StoreNews, asked_at: float) -> None:
+def apply_store_update(store: StoreView, news: StoreUpdate, asked_at: float) -> None:
     """Take what a peer told, dated from when the question left."""
     if news.is_complete or news.epoch != store.epoch:
         store.reset(news.epoch, news.next, bool(news.changes))
--- a/libs/serving/ruddersaddle_serving/placements.py
+++ b/libs/serving/ruddersaddle_serving/placements.py
@@ -9,7 +9,7 @@
 from ruddersaddle_base.ids import HallId, ModelId, PoolId, UpstreamId
 from ruddersaddle_routing.rendezvous import rank_names
 
-from ruddersaddle_serving.kept_parts import KeptParts
+from ruddersaddle_serving.cached_parts import CachedParts
 from ruddersaddle_serving.ports import Transfer
 from ruddersaddle_serving.prompts import CallerRequest, Prompt
 from ruddersaddle_serving.publications import Publications
@@ -84,7 +84,7 @@
         publications: Publications,
         upstreams: UpstreamList,
         trackers: Trackers,
-        kept: KeptParts,
+        kept: CachedParts,
         shares: UpstreamQuotas,
     ) -> None:
         self.hall = hall
--- a/libs/serving/ruddersaddle_serving/replaced_parts.py
+++ b/libs/serving/ruddersaddle_serving/replaced_parts.py
@@ -11,8 +11,8 @@
 from ruddersaddle_base import clocks
 from ruddersaddle_base.ids import ModelId
 
-from ruddersaddle_serving.context_stores import FETCH_S, TRUST_S, KeptStore
-from ruddersaddle_serving.kept_parts import KeptParts
+from ruddersaddle_serving.cached_parts import CachedParts
+from ruddersaddle_serving.context_stores import FETCH_S, TRUST_S, StoreView
 from ruddersaddle_serving.neighbours import Neighbours, place_in_line
 from ruddersaddle_serving.publications import Publications
 from ruddersaddle_serving.tasks import spawn_forever
@@ -40,7 +40,7 @@
         upstreams: UpstreamList,
         trackers: Trackers,
         neighbours: Neighbours,
-        kept: KeptParts,
+        kept: CachedParts,
     ) -> None:
         self.publications = publications
         self.upstreams = upstreams
@@ -92,7 +92,7 @@
         ]
         return min(versions, default=0)
 
-    def _free_at(self, kept: KeptStore, model: ModelId, version: int) -> None:
+    def _free_at(self, kept: StoreView, model: ModelId, version: int) -> None:
         parts = kept.parts_before(model, version)[:FREE_BATCH]
         if not parts:
             return
--- a/libs/serving/ruddersaddle_serving/tests/load_replays.py
+++ b/libs/serving/ruddersaddle_serving/tests/load_replays.py
@@ -17,9 +17,9 @@
 from ruddersaddle_base.failures import Failure
 from ruddersaddle_base.ids import HallId, HostId, ModelId, PoolId, RequestId, UpstreamId
 
+from ruddersaddle_serving.cached_parts import CachedParts
 from ruddersaddle_serving.forwarders import CONNECTS_MAX
 from ruddersaddle_serving.hosts import HostRecord, Hosts
-from ruddersaddle_serving.kept_parts import KeptParts
 from ruddersaddle_serving.load_shares import (
     READER_NOTICES_S,
     SUMS_S,
@@ -184,7 +184,7 @@
             tracker.memory.capacity_tokens = replay.load.memory_tokens
             tracker.connections = ReplayConnections(self, engine.entry.id)
         publications = Publications()
-        kept = KeptParts(mock.Mock())
+        kept = CachedParts(mock.Mock())
         hall = shares.hosts.own.hall
         cold = UpstreamQuotas(shares.hosts, publications, upstreams)
         self.placement = Placement(hall, 12.0, publications, upstreams, trackers, kept, cold)
--- a/libs/serving/ruddersaddle_serving/tests/test_belief_ages.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_belief_ages.py
@@ -2,8 +2,8 @@
 
 import unittest
 
+from ruddersaddle_serving.cached_parts import FOLLOW_WAIT_S
 from ruddersaddle_serving.context_stores import TRUST_S
-from ruddersaddle_serving.kept_parts import FOLLOW_WAIT_S
 from ruddersaddle_serving.neighbours import ASK_PAUSE_S, LOOK_S, OLD_S
 from ruddersaddle_serving.part_relays import ASK_PAUSE_S as PARTS_ASK_PAUSE_S
 from ruddersaddle_serving.store_followers import (
--- a/libs/serving/ruddersaddle_serving/tests/test_kept_parts.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_cached_parts.py
@@ -6,14 +6,14 @@
 from ruddersaddle_base.failures import Code, Failure, Step
 from ruddersaddle_base.ids import HallId, ModelId, PoolId, StoreId, WorkspaceId
 
+from ruddersaddle_serving.cached_parts import CachedParts, make_salt
 from ruddersaddle_serving.context_stores import (
     FETCH_S,
     QUIET_S,
     TRUST_S,
-    KeptStore,
+    StoreView,
     is_older_salt,
 )
-from ruddersaddle_serving.kept_parts import KeptParts, make_salt
 from ruddersaddle_serving.ports import StoreChange, StoreChanges, Transfer
 from ruddersaddle_serving.prompts import Part, PartId, Prompt
 from ruddersaddle_serving.routes import ContextStore, Engine, Pool, Published, RouteTable
@@ -27,12 +27,12 @@
 SLOW = ContextStore(StoreId("slow"), "10.0.0.2:1", HALL, 90_000, 130_000.0, 0.006, 8)
 
 
-class KeptPartsTest(FixedClockTest):
+class CachedPartsTest(FixedClockTest):
     def setUp(self) -> None:
         super().setUp()
-        self.kept = KeptParts(mock.Mock())
+        self.kept = CachedParts(mock.Mock())
         for spec in (FAST, SLOW):
-            store = self.kept.by_id[spec.id] = KeptStore(spec)
+            store = self.kept.by_id[spec.id] = StoreView(spec)
             store.reset(1, 0)
             store.record_clock(5_000)
         self.now += 10.0
@@ -155,7 +155,7 @@
         for number in range(6):
             name = StoreId(f"fast-{number}")
             spec = ContextStore(name, f"10.1.0.{number}:1", HALL, 20_000, 310_000.0, 0.0005, 8)
-            store = self.kept.by_id[name] = KeptStore(spec)
+            store = self.kept.by_id[name] = StoreView(spec)
             store.reset(1, 0)
             store.record_clock(5_000)
         self.now += 10.0
--- a/libs/serving/ruddersaddle_serving/tests/test_host_lists.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_host_lists.py
@@ -6,9 +6,9 @@
 import msgspec
 from ruddersaddle_base.ids import HallId, HostId
 
+from ruddersaddle_serving.cached_parts import CachedParts
 from ruddersaddle_serving.crash_records import CrashRecords
 from ruddersaddle_serving.hosts import HostRecord, Hosts
-from ruddersaddle_serving.kept_parts import KeptParts
 from ruddersaddle_serving.neighbour_messages import NeighbourMessage
 from ruddersaddle_serving.neighbours import Neighbours
 from ruddersaddle_serving.ports import Page, Record, StorePosition
@@ -57,7 +57,7 @@
             Publications(),
             UpstreamList(),
             Trackers(),
-            KeptParts(mock.Mock()),
+            CachedParts(mock.Mock()),
             CrashRecords(),
         )
         neighbours.peers = FakePeers(self.by_address)
--- a/libs/serving/ruddersaddle_serving/tests/test_part_relays.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_part_relays.py
@@ -7,9 +7,9 @@
 from ruddersaddle_base.failures import Code, Failure, Step
 from ruddersaddle_base.ids import HallId, HostId, StoreId
 
+from ruddersaddle_serving.cached_parts import CachedParts
 from ruddersaddle_serving.crash_records import CrashRecords
 from ruddersaddle_serving.hosts import HostRecord, Hosts
-from ruddersaddle_serving.kept_parts import KeptParts
 from ruddersaddle_serving.neighbours import Neighbours
 from ruddersaddle_serving.part_relays import PartRelay
 from ruddersaddle_serving.ports import StoreListing
@@ -28,7 +28,7 @@
         engines = mock.Mock()
         engines.store_listing.return_value = StoreListing(1, 0, (), ())
         engines.store_changes.return_value = LOST
-        kept = KeptParts(engines)
+        kept = CachedParts(engines)
         hosts = Hosts(HostId("a"), HostRecord("10.0.0.2:1", HALL), [])
         neighbours = Neighbours(
             hosts,
--- a/libs/serving/ruddersaddle_serving/tests/test_part_news.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_part_updates.py
@@ -5,9 +5,15 @@
 
 from ruddersaddle_base.ids import HallId, StoreId
 
-from ruddersaddle_serving.context_stores import RECENT_MAX, TRUST_S, KeptStore
-from ruddersaddle_serving.kept_parts import KeptParts
-from ruddersaddle_serving.part_news import AskParts, PartsNews, Position, take_store, tell_parts
+from ruddersaddle_serving.cached_parts import CachedParts
+from ruddersaddle_serving.context_stores import RECENT_MAX, TRUST_S, StoreView
+from ruddersaddle_serving.part_updates import (
+    AskParts,
+    PartsUpdate,
+    Position,
+    apply_store_update,
+    make_parts_update,
+)
 from ruddersaddle_serving.ports import StoreChange
 from ruddersaddle_serving.prompts import PartId
 from ruddersaddle_serving.routes import ContextStore
@@ -16,28 +22,28 @@
 SPEC = ContextStore(StoreId("s"), "10.0.0.1:1", HallId("h"), 100_000, 1000.0, 0.0, 12)
 
 
-class PartNewsTest(FixedClockTest):
+class PartUpdatesTest(FixedClockTest):
     def setUp(self) -> None:
         super().setUp()
-        self.reader = KeptParts(mock.Mock())
-        self.read = self.reader.by_id[SPEC.id] = KeptStore(SPEC)
+        self.reader = CachedParts(mock.Mock())
+        self.read = self.reader.by_id[SPEC.id] = StoreView(SPEC)
         self.read.reset(7, 40)
         self.read.record_clock(9_000)
         self.read.confirmed_at = self.now
-        self.told = KeptStore(SPEC)
+        self.told = StoreView(SPEC)
         self.revision = -1
 
     def put(self, name: str, tokens: int) -> None:
         self.read.apply(StoreChange("m/1", PartId(name), tokens))
 
-    def ask(self, way_s: float = 0.0) -> PartsNews:
+    def ask(self, way_s: float = 0.0) -> PartsUpdate:
         """Ask and take the answer, each way taking `way_s`."""
         asked_at = self.now
         self.now += way_s
-        news = tell_parts(self.reader, AskParts((Position(SPEC.id, self.revision),)))
+        news = make_parts_update(self.reader, AskParts((Position(SPEC.id, self.revision),)))
         self.now += way_s
         for each in news.stores:
-            take_store(self.told, each, asked_at)
+            apply_store_update(self.told, each, asked_at)
             self.revision = each.revision
         return news
 
@@ -74,10 +80,10 @@
 
     def test_answer_from_before_the_loss_of_a_store_does_not_restore_it(self) -> None:
         asked_at = self.now
-        news = tell_parts(self.reader, AskParts((Position(SPEC.id, -1),)))
+        news = make_parts_update(self.reader, AskParts((Position(SPEC.id, -1),)))
         self.now += 0.01
         self.told.record_lost()
-        take_store(self.told, news.stores[0], asked_at)
+        apply_store_update(self.told, news.stores[0], asked_at)
         self.assertFalse(self.told.is_trusted)
         self.now += 0.1
         self.read.confirmed_at = self.now
@@ -94,7 +100,7 @@
 
     def test_reader_that_no_longer_trusts_its_listing_tells_nothing(self) -> None:
         self.now += TRUST_S + 0.1
-        self.assertEqual(self.ask(), PartsNews(()))
+        self.assertEqual(self.ask(), PartsUpdate(()))
 
     def test_clock_is_never_told_ahead_of_itself(self) -> None:
         self.ask(way_s=0.2)
--- a/libs/serving/ruddersaddle_serving/tests/test_placements.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_placements.py
@@ -8,9 +8,9 @@
 from ruddersaddle_base.failures import Code, Failure, Ran
 from ruddersaddle_base.ids import HallId, HostId, ModelId, PoolId, RequestId, UpstreamId
 
+from ruddersaddle_serving.cached_parts import CachedParts
 from ruddersaddle_serving.evacuations import Evacuation
 from ruddersaddle_serving.hosts import HostRecord, Hosts
-from ruddersaddle_serving.kept_parts import KeptParts
 from ruddersaddle_serving.placements import (
     CANDIDATES_MAX,
     RETRY_SOON_S,
@@ -51,7 +51,7 @@
         self.publications = Publications()
         self.upstreams = UpstreamList()
         self.trackers = Trackers()
-        kept = KeptParts(mock.Mock())
+        kept = CachedParts(mock.Mock())
         self.hosts = Hosts(HostId("host"), HostRecord("10.0.0.9:1", HallId("h")), [])
         self.placement = Placement(
             HallId("h"),
--- a/libs/serving/ruddersaddle_serving/tests/test_replaced_parts.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_replaced_parts.py
@@ -5,8 +5,8 @@
 
 from ruddersaddle_base.ids import HallId, ModelId, PoolId, StoreId, UpstreamId
 
-from ruddersaddle_serving.context_stores import FETCH_S, TRUST_S, KeptStore
-from ruddersaddle_serving.kept_parts import KeptParts
+from ruddersaddle_serving.cached_parts import CachedParts
+from ruddersaddle_serving.context_stores import FETCH_S, TRUST_S, StoreView
 from ruddersaddle_serving.ports import ModelVersion, StoreChange
 from ruddersaddle_serving.prompts import Part, PartId, Prompt
 from ruddersaddle_serving.publications import Publications
@@ -33,8 +33,8 @@
         self.trackers = Trackers()
         self.engines = mock.Mock()
         self.engines.free.return_value = None
-        self.kept = KeptParts(self.engines)
-        self.store = self.kept.by_id[SPEC.id] = KeptStore(SPEC)
+        self.kept = CachedParts(self.engines)
+        self.store = self.kept.by_id[SPEC.id] = StoreView(SPEC)
         self.store.reset(1, 0)
         self.store.record_clock(5_000)
         for part in (OLD_PART, NEW_PART):
--- a/libs/serving/ruddersaddle_serving/weighings.py
+++ b/libs/serving/ruddersaddle_serving/weighings.py
@@ -12,8 +12,8 @@
     excess_s,
     predict_wait_s,
 )
-from ruddersaddle_serving.context_stores import KeptStore
-from ruddersaddle_serving.kept_parts import KeptParts, make_salt
+from ruddersaddle_serving.cached_parts import CachedParts, make_salt
+from ruddersaddle_serving.context_stores import StoreView
 from ruddersaddle_serving.paces import nominal_work_s
 from ruddersaddle_serving.prompts import CallerRequest, Prompt
 from ruddersaddle_serving.trackers import Tracker
@@ -74,12 +74,12 @@
 class Weighing:
     """Estimates of one prompt; stores are looked through once for each salt."""
 
-    def __init__(self, request: CallerRequest, prompt: Prompt, kept: KeptParts) -> None:
+    def __init__(self, request: CallerRequest, prompt: Prompt, kept: CachedParts) -> None:
         self.request = request
         self.prompt = prompt
         self.kept = kept
         self.estimates: list[Estimate] = []
-        self.holders_by_salt: dict[str, list[KeptStore | None]] = {}
+        self.holders_by_salt: dict[str, list[StoreView | None]] = {}
 
     def weigh(self, trackers: list[Tracker], margin_s: float = 0.0) -> Estimate:
         """Return the estimate that admission finds earliest; of equal ones the first tracker's.
@@ -136,7 +136,7 @@
 
 
 def _add_fetched(
-    prompt: Prompt, covered: int, holders: list[KeptStore | None], hall: HallId
+    prompt: Prompt, covered: int, holders: list[StoreView | None], hall: HallId
 ) -> tuple[int, float]:
     """Return the tokens of the parts after the covered ones that can be fetched, and the time."""
     fetched = 0
