--- a/libs/serving/ruddersaddle_serving/cached_parts.py
+++ b/libs/serving/ruddersaddle_serving/cached_parts.py
@@ -1,10 +1,10 @@
-"""What context stores hold, and which parts of a prompt are fetched from and saved to them.
+"""What context stores hold, and which prompt parts are fetched from and saved to them.
 
-A store drops nothing by itself and doesn't know who reads, so two things must never happen: a part
-is fetched while it is not whole, and a part is freed while it is fetched. The first is kept by
-fetching only what the store itself said is whole, in a listing confirmed within `TRUST_S`, and by
-saving nothing for `QUIET_S` after a store's restart, until no host can believe the earlier listing
-any more. The second is kept by freeing only what no engine can fetch any more (`replaced_parts`).
+A store evicts nothing by itself and doesn't know its readers, so this module and `replaced_parts`
+uphold two invariants. No part is fetched before it is complete: hosts fetch only what the store
+listed as complete, in a listing confirmed within `LISTING_TRUST_S`, and save nothing for
+`RESTART_SAVE_PAUSE_S` after a store's restart, until no host can still trust the earlier listing.
+No part is freed while it is being fetched: only parts that no engine can fetch any more are freed.
 """
 
 import logging
@@ -16,7 +16,7 @@
 from ruddersaddle_base.ids import HallId, ModelId, StoreId, WorkspaceId
 from ruddersaddle_routing.rendezvous import rank_names
 
-from ruddersaddle_serving.context_stores import TOKEN_BYTES, StoreView
+from ruddersaddle_serving.context_stores import DEFAULT_TOKEN_BYTES, StoreView
 from ruddersaddle_serving.ports import Engines, Transfer
 from ruddersaddle_serving.prompts import Part, PartId, Prompt
 from ruddersaddle_serving.routes import ContextStore, RouteTable
@@ -24,21 +24,21 @@
 
 logger = logging.getLogger(__name__)
 
-SAVING_S = 5.0
+SAVE_DEDUP_S = 5.0
 """A part that was sent to be saved is not sent again this long."""
-SAVING_MAX = 10_000
+SAVE_DEDUP_MAX = 10_000
 """Parts that were sent to be saved are looked through for old ones beyond this many."""
 RETRY_S = 0.4
-FOLLOW_WAIT_S = 0.5
+LONG_POLL_S = 0.5
 """How long a store may hold the question for changes; it allows twice as much, but what it holds
-has to be known again within 2 s, by way of another host (`context_stores.TRUST_S`)."""
-EVENTS_PAUSE_S = 0.2
+has to be known again within 2 s, by way of another host (`context_stores.LISTING_TRUST_S`)."""
+CHANGES_PAUSE_S = 0.2
 """Pause after an answer that told changes, so that some of them share the next one: answers in less
 than 200 ms are priced as probes."""
-SPARE_WATCHERS = 4
+RESERVED_WATCHERS = 4
 """Waiting questions of the most that a store holds which are left for hosts that start or whose
 reader is being replaced."""
-LOOK_S = 1.0
+FOLLOW_CHECK_S = 1.0
 """Pause of a host that is told of stores until it looks again whether it should ask."""
 
 
@@ -59,7 +59,7 @@
         """Take the stores of a configuration."""
         wanted = {spec.id: spec for spec in table.published.stores}
         engines = [pool.engine for pool in table.published.pools if pool.engine is not None]
-        token_bytes = max((each.token_bytes for each in engines), default=0) or TOKEN_BYTES
+        token_bytes = max((each.token_bytes for each in engines), default=0) or DEFAULT_TOKEN_BYTES
         for gone in set(self.by_id) - set(wanted):
             del self.by_id[gone]
         for spec in wanted.values():
@@ -76,7 +76,7 @@
     def _supervise(self) -> None:
         while True:
             self.start_followers()
-            eventlet.sleep(LOOK_S)
+            eventlet.sleep(FOLLOW_CHECK_S)
 
     def start_followers(self) -> None:
         """Begin to follow the stores that this host asks itself and doesn't follow yet."""
@@ -105,7 +105,7 @@
             self._handle_failure(kept, failure)
             return RETRY_S
         kept.confirmed_at = asked_at
-        return EVENTS_PAUSE_S if kept.revision != revision else 0.0
+        return CHANGES_PAUSE_S if kept.revision != revision else 0.0
 
     def _handle_failure(self, kept: StoreView, failure: Failure) -> None:
         """Stop fetching from a store that takes no connection, here and where this host tells."""
@@ -118,7 +118,7 @@
         if kept.epoch is None:
             return self._list(kept)
         # The first answer brings the engines' clock, without which nothing is fetched.
-        wait_s = FOLLOW_WAIT_S if kept.knows_clock else 0.0
+        wait_s = LONG_POLL_S if kept.knows_clock else 0.0
         page = self.engines.store_changes(kept.spec, kept.next_event, wait_s)
         if isinstance(page, Failure):
             return page
@@ -219,8 +219,8 @@
         return by_id[rank_names(part.id, by_id)[0]]
 
     def _record_saving(self, key: tuple[str, PartId], now: float) -> None:
-        self._saving_until[key] = now + SAVING_S
-        if len(self._saving_until) > SAVING_MAX:
+        self._saving_until[key] = now + SAVE_DEDUP_S
+        if len(self._saving_until) > SAVE_DEDUP_MAX:
             live = {each: until for each, until in self._saving_until.items() if until > now}
             self._saving_until = live
 
--- a/libs/serving/ruddersaddle_serving/context_stores.py
+++ b/libs/serving/ruddersaddle_serving/context_stores.py
@@ -16,28 +16,28 @@
 
 logger = logging.getLogger(__name__)
 
-TRUST_S = 2.0
+LISTING_TRUST_S = 2.0
 """A listing counts this long after the question was sent that last confirmed it. A question waits
-up to `FOLLOW_WAIT_S` for changes; hosts that are told by another one ask it each half second."""
-FETCH_S = 1.4
+up to `LONG_POLL_S` for changes; hosts that are told by another one ask it each half second."""
+FETCH_TIMEOUT_S = 1.4
 """A fetch that takes longer is thrown away by the engine. Reading a prompt of 30,000 tokens
 anew takes 0.3 to 0.6 s."""
-QUIET_S = 4.2
+RESTART_SAVE_PAUSE_S = 4.2
 """Nothing is saved this long after a new epoch of a store was first seen: the earlier listing is
-trusted for `TRUST_S` at most, and a fetch begun at its end may take `FETCH_S`."""
-FULL_SHARE = 0.97
+trusted for `LISTING_TRUST_S` at most, and a fetch begun at its end may take `FETCH_TIMEOUT_S`."""
+FULL_FRACTION = 0.97
 """Above this share of its capacity nothing more is saved to a store."""
-TOKEN_BYTES = 32_768
+DEFAULT_TOKEN_BYTES = 32_768
 """Memory of one token where the configuration doesn't say; it only weighs moving against reading
 again. Engines of the known kinds take 18,000 to 35,000 bytes."""
-OTHER_HALL_FACTOR = 2.0
+CROSS_HALL_FACTOR = 2.0
 """A move between halls takes twice as long (the platform's page)."""
-MOVE_WAIT_FACTOR = 1.5
+TRANSFER_QUEUE_FACTOR = 1.5
 """Moves go one after another on both links, so that each waits for some others."""
 BLOCK_TOKENS = 16
 """Memory goes by blocks of this many tokens."""
 REVISION_BITS = 40
-RECENT_MAX = 2000
+RECENT_CHANGES_MAX = 2000
 """Changes that are remembered to be told to other hosts; at 30 prompts a second some hundred
 parts a second are saved to all stores together."""
 
@@ -47,7 +47,7 @@
 
     def __init__(self, spec: ContextStore) -> None:
         self.spec = spec
-        self.token_bytes = TOKEN_BYTES
+        self.token_bytes = DEFAULT_TOKEN_BYTES
         self.epoch: int | None = None
         self.next_event = 0
         self.confirmed_at = float("-inf")
@@ -63,12 +63,12 @@
         """Whether a task of this host asks the store for changes."""
         self.revision = random.getrandbits(REVISION_BITS)
         """Grows with each change; begins anywhere, so that two hosts' numbers differ."""
-        self._recent: deque[tuple[int, StoreChange]] = deque(maxlen=RECENT_MAX)
+        self._recent: deque[tuple[int, StoreChange]] = deque(maxlen=RECENT_CHANGES_MAX)
 
     @property
     def is_trusted(self) -> bool:
         """Whether the listing is young enough to fetch by it, and the store answered since."""
-        oldest_at = max(self.lost_at, clocks.now_s() - TRUST_S)
+        oldest_at = max(self.lost_at, clocks.now_s() - LISTING_TRUST_S)
         return self.confirmed_at > oldest_at and self.knows_clock
 
     def record_lost(self) -> None:
@@ -76,7 +76,7 @@
 
         An engine that fetches from a store that is gone notices after about 0.3 s. While the young
         listing was still believed, one lost store of nineteen delayed every prompt that begins
-        with a part kept there, for the whole 2 s of `TRUST_S`.
+        with a part kept there, for the whole 2 s of `LISTING_TRUST_S`.
         """
         self.lost_at = clocks.now_s()
 
@@ -93,17 +93,17 @@
     @property
     def accepts_saves(self) -> bool:
         """Whether parts may be saved here now."""
-        settled = clocks.now_s() - self.epoch_seen_at > QUIET_S
+        settled = clocks.now_s() - self.epoch_seen_at > RESTART_SAVE_PAUSE_S
         return self.is_trusted and settled
 
     def has_room(self, tokens: int) -> bool:
         """Whether so many tokens fit."""
-        return self.used_tokens + tokens + BLOCK_TOKENS <= self.spec.capacity_tokens * FULL_SHARE
+        return self.used_tokens + tokens + BLOCK_TOKENS <= self.spec.capacity_tokens * FULL_FRACTION
 
     def transfer_s(self, tokens: int, hall: HallId) -> float:
         """Return about how long moving so many tokens to or from an engine in a hall takes."""
-        ways = 1.0 if hall == self.spec.hall else OTHER_HALL_FACTOR
-        return self.spec.first_s + MOVE_WAIT_FACTOR * ways * self.link_s(tokens)
+        ways = 1.0 if hall == self.spec.hall else CROSS_HALL_FACTOR
+        return self.spec.first_s + TRANSFER_QUEUE_FACTOR * ways * self.link_s(tokens)
 
     def link_s(self, tokens: int) -> float:
         """Return how long the store's link is taken by so many tokens, in seconds."""
@@ -182,7 +182,7 @@
     @property
     def fetch_until_ms(self) -> int:
         """Until when a fetch that begins now may last, on the engines' clock."""
-        return int(self.clock_ms + FETCH_S * 1000.0)
+        return int(self.clock_ms + FETCH_TIMEOUT_S * 1000.0)
 
 
 def _round_up(tokens: int) -> int:
--- a/libs/serving/ruddersaddle_serving/part_relays.py
+++ b/libs/serving/ruddersaddle_serving/part_relays.py
@@ -5,7 +5,7 @@
 import eventlet
 from ruddersaddle_base import clocks
 
-from ruddersaddle_serving.cached_parts import SPARE_WATCHERS, CachedParts
+from ruddersaddle_serving.cached_parts import RESERVED_WATCHERS, CachedParts
 from ruddersaddle_serving.neighbours import ASK_S, Neighbours
 from ruddersaddle_serving.part_updates import AskParts, PartsUpdate, Position, apply_store_update
 from ruddersaddle_serving.routes import ContextStore
@@ -43,7 +43,7 @@
         hosts = self.neighbours.hosts
         if not hosts.is_known:
             return False
-        if hosts.count <= spec.watchers_max - SPARE_WATCHERS:
+        if hosts.count <= spec.watchers_max - RESERVED_WATCHERS:
             return True
         return hosts.is_reader()
 
--- a/libs/serving/ruddersaddle_serving/replaced_parts.py
+++ b/libs/serving/ruddersaddle_serving/replaced_parts.py
@@ -2,7 +2,7 @@
 
 A request names the weights that it expects, and an engine with others refuses it. So nothing that
 replaced weights made is fetched any more once every engine has newer ones, whatever single hosts
-still believe, and fetches that had begun by then end within `FETCH_S`.
+still believe, and fetches that had begun by then end within `FETCH_TIMEOUT_S`.
 """
 
 import logging
@@ -12,7 +12,7 @@
 from ruddersaddle_base.ids import ModelId
 
 from ruddersaddle_serving.cached_parts import CachedParts
-from ruddersaddle_serving.context_stores import FETCH_S, TRUST_S, StoreView
+from ruddersaddle_serving.context_stores import FETCH_TIMEOUT_S, LISTING_TRUST_S, StoreView
 from ruddersaddle_serving.neighbours import Neighbours, place_in_line
 from ruddersaddle_serving.publications import Publications
 from ruddersaddle_serving.tasks import spawn_forever
@@ -21,12 +21,14 @@
 
 logger = logging.getLogger(__name__)
 
-LOOK_S = 0.5
+CHECK_PAUSE_S = 0.5
 """Pause between looks; freeing is not urgent."""
-FREE_AFTER_S = TRUST_S + FETCH_S + 0.6
-"""Parts are freed this long after the last engine was seen to have newer weights. `FETCH_S` would
-do for the engines that are listed; `TRUST_S` more covers one whose entry had lapsed and that some
-host still knew; the rest is for requests on their way."""
+FREE_AFTER_S = LISTING_TRUST_S + FETCH_TIMEOUT_S + 0.6
+"""How long all engines must have had newer weights before older parts are freed.
+
+`FETCH_TIMEOUT_S` would do for listed engines. `LISTING_TRUST_S` covers an engine whose entry has
+expired while some host still knows it, and 0.6 s covers requests in flight.
+"""
 FREE_BATCH = 400
 """Parts that one call frees."""
 
@@ -59,7 +61,7 @@
         while True:
             for model in list(self.publications.version_by_model):
                 self.look(model)
-            eventlet.sleep(LOOK_S)
+            eventlet.sleep(CHECK_PAUSE_S)
 
     def look(self, model: ModelId) -> None:
         """Free what no engine can fetch any more, if this host is the one to do it."""
--- a/libs/serving/ruddersaddle_serving/tests/test_belief_ages.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_belief_ages.py
@@ -2,8 +2,8 @@
 
 import unittest
 
-from ruddersaddle_serving.cached_parts import FOLLOW_WAIT_S
-from ruddersaddle_serving.context_stores import TRUST_S
+from ruddersaddle_serving.cached_parts import LONG_POLL_S
+from ruddersaddle_serving.context_stores import LISTING_TRUST_S
 from ruddersaddle_serving.neighbours import ASK_PAUSE_S, LOOK_S, OLD_S
 from ruddersaddle_serving.part_relays import ASK_PAUSE_S as PARTS_ASK_PAUSE_S
 from ruddersaddle_serving.store_followers import (
@@ -38,7 +38,7 @@
         self.assertGreater(CERTAIN_S, HEARD_AGE_S)
 
     def test_listings_are_trusted_by_hosts_that_hear_of_others(self) -> None:
-        self.assertGreater(TRUST_S, 2 * FOLLOW_WAIT_S + WAY_S + PARTS_ASK_PAUSE_S)
+        self.assertGreater(LISTING_TRUST_S, 2 * LONG_POLL_S + WAY_S + PARTS_ASK_PAUSE_S)
 
 
 if __name__ == "__main__":
--- a/libs/serving/ruddersaddle_serving/tests/test_cached_parts.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_cached_parts.py
@@ -8,9 +8,9 @@
 
 from ruddersaddle_serving.cached_parts import CachedParts, make_salt
 from ruddersaddle_serving.context_stores import (
-    FETCH_S,
-    QUIET_S,
-    TRUST_S,
+    FETCH_TIMEOUT_S,
+    LISTING_TRUST_S,
+    RESTART_SAVE_PAUSE_S,
     StoreView,
     is_older_salt,
 )
@@ -85,7 +85,7 @@
 
     def test_listing_that_is_not_confirmed_is_not_trusted(self) -> None:
         self.put(FAST, SMALL)
-        self.now += TRUST_S + 0.1
+        self.now += LISTING_TRUST_S + 0.1
         self.assertEqual(self.plan(), Transfer("m/1", (None,) * 3, (None,) * 3, 0))
 
     def refuse(self, step: Step) -> Failure:
@@ -123,7 +123,7 @@
         for store in self.kept.by_id.values():
             store.reset(2, 0)
         self.assertEqual(self.plan().save_to, (None, None, None))
-        self.now += QUIET_S + 0.1
+        self.now += RESTART_SAVE_PAUSE_S + 0.1
         self.confirm()
         self.assertEqual(self.plan().save_to, (FAST.address, SLOW.address, None))
 
@@ -149,7 +149,7 @@
         self.assertEqual(self.plan().save_to, (SLOW.address, SLOW.address, None))
 
     def test_quiet_time_outlasts_every_fetch_by_the_earlier_listing(self) -> None:
-        self.assertGreater(QUIET_S, TRUST_S + FETCH_S)
+        self.assertGreater(RESTART_SAVE_PAUSE_S, LISTING_TRUST_S + FETCH_TIMEOUT_S)
 
     def test_stores_that_are_alike_share_the_parts(self) -> None:
         for number in range(6):
--- a/libs/serving/ruddersaddle_serving/tests/test_part_updates.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_part_updates.py
@@ -6,7 +6,7 @@
 from ruddersaddle_base.ids import HallId, StoreId
 
 from ruddersaddle_serving.cached_parts import CachedParts
-from ruddersaddle_serving.context_stores import RECENT_MAX, TRUST_S, StoreView
+from ruddersaddle_serving.context_stores import LISTING_TRUST_S, RECENT_CHANGES_MAX, StoreView
 from ruddersaddle_serving.part_updates import (
     AskParts,
     PartsUpdate,
@@ -63,7 +63,7 @@
 
     def test_asker_that_fell_far_behind_gets_the_whole_listing(self) -> None:
         self.ask()
-        for number in range(RECENT_MAX + 1):
+        for number in range(RECENT_CHANGES_MAX + 1):
             self.put(str(number % 5), 10 + number)
         news = self.ask().stores[0]
         self.assertEqual((news.is_complete, len(news.changes)), (True, 5))
@@ -99,7 +99,7 @@
         self.assertFalse(self.told.is_trusted)
 
     def test_reader_that_no_longer_trusts_its_listing_tells_nothing(self) -> None:
-        self.now += TRUST_S + 0.1
+        self.now += LISTING_TRUST_S + 0.1
         self.assertEqual(self.ask(), PartsUpdate(()))
 
     def test_clock_is_never_told_ahead_of_itself(self) -> None:
--- a/libs/serving/ruddersaddle_serving/tests/test_replaced_parts.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_replaced_parts.py
@@ -6,7 +6,7 @@
 from ruddersaddle_base.ids import HallId, ModelId, PoolId, StoreId, UpstreamId
 
 from ruddersaddle_serving.cached_parts import CachedParts
-from ruddersaddle_serving.context_stores import FETCH_S, TRUST_S, StoreView
+from ruddersaddle_serving.context_stores import FETCH_TIMEOUT_S, LISTING_TRUST_S, StoreView
 from ruddersaddle_serving.ports import ModelVersion, StoreChange
 from ruddersaddle_serving.prompts import Part, PartId, Prompt
 from ruddersaddle_serving.publications import Publications
@@ -94,7 +94,7 @@
         self.engines.free.assert_not_called()
 
     def test_wait_outlasts_what_hosts_believe_and_the_fetch_that_follows(self) -> None:
-        self.assertGreater(FREE_AFTER_S, TRUST_S + FETCH_S)
+        self.assertGreater(FREE_AFTER_S, LISTING_TRUST_S + FETCH_TIMEOUT_S)
 
     def test_parts_are_fetched_however_old_the_published_items_are(self) -> None:
         """The metadata store was away for 8 s; every prompt of that time was read whole."""
