--- a/libs/serving/ruddersaddle_serving/forwarders.py
+++ b/libs/serving/ruddersaddle_serving/forwarders.py
@@ -134,7 +134,7 @@
             return Failure(Code.NO_UPSTREAM, Step.ADMIT, self.request.route.name, "no target")
         self.forwarder.budget.record_first_attempt()
         while True:
-            result = self._try_once(self.request.head.last_event)
+            result = self._try_once(self.request.head.last_event_id)
             if not isinstance(result, Failure):
                 return result
             self._may_have_run = self._may_have_run or result.ran is not Ran.NOT_RUN
@@ -260,7 +260,7 @@
         failure = Failure(Code.UPSTREAM_FAILED, Step.READ, self.trail.upstream, "", Ran.RAN)
         if not self._may_try_again(failure):
             return None
-        result = self._try_once(self.request.head.last_event)
+        result = self._try_once(self.request.head.last_event_id)
         return None if isinstance(result, Failure) else result
 
     def _await_first(self, head: AnswerHead) -> AnswerHead | Failure:
@@ -282,7 +282,7 @@
 
     def _note_first(self) -> None:
         if self.trail.first_s is None:
-            self.trail.first_s = clocks.now_s() - self.request.began
+            self.trail.first_s = clocks.now_s() - self.request.started_at
 
     def events(self) -> Iterator[bytes | Failure]:
         """Yield whole events as they arrive; a failure, if any, comes last."""
--- a/libs/serving/ruddersaddle_serving/prompts.py
+++ b/libs/serving/ruddersaddle_serving/prompts.py
@@ -55,8 +55,8 @@
     key: str | None
     budget_s: float | None
     prompt: Prompt | None
-    last_event: str | None
-    passed_headers: Headers
+    last_event_id: str | None
+    forwarded_headers: Headers
     """Headers that go to the upstream as they came."""
 
 
@@ -79,7 +79,7 @@
         self.body = body
         self.route = route
         self.workspace = workspace
-        self.began = began
+        self.started_at = began
         budget_s = route.timeout_s if head.budget_s is None else head.budget_s
         self.budget_s = min(budget_s, route.timeout_s)
 
@@ -102,7 +102,7 @@
     @property
     def remaining_s(self) -> float:
         """Seconds that are left of the caller's time and the route's."""
-        return self.began + self.budget_s - clocks.now_s()
+        return self.started_at + self.budget_s - clocks.now_s()
 
     @property
     def priority(self) -> int:
