--- a/libs/serving/ruddersaddle_serving/neighbour_messages.py
+++ b/libs/serving/ruddersaddle_serving/neighbour_messages.py
@@ -12,7 +12,7 @@
 from ruddersaddle_serving.part_updates import AskParts, PartsUpdate, StoreLost
 from ruddersaddle_serving.ports import START, ModelVersion, StorePosition
 from ruddersaddle_serving.publications import NamingAge
-from ruddersaddle_serving.routes import Published
+from ruddersaddle_serving.routes import PublishedConfiguration
 from ruddersaddle_serving.store_eras import UNTOLD
 from ruddersaddle_serving.upstream_entries import UpstreamEntry, UpstreamStart
 
@@ -41,7 +41,7 @@
     age_s: float
     end: int
     named: tuple[ModelVersion, ...]
-    published: Published | None
+    published: PublishedConfiguration | None
     entries: tuple[UpstreamEntry, ...] | None
     """None if the asker has them."""
     entries_revision: int
--- a/libs/serving/ruddersaddle_serving/ports.py
+++ b/libs/serving/ruddersaddle_serving/ports.py
@@ -10,7 +10,7 @@
 
 from ruddersaddle_serving.evacuations import Evacuation
 from ruddersaddle_serving.prompts import CallerHead, CallerRequest, Headers, PartId
-from ruddersaddle_serving.routes import ContextStore, Published
+from ruddersaddle_serving.routes import ContextStore, PublishedConfiguration
 from ruddersaddle_serving.self_reports import EMPTY_REPORT, SelfReport
 from ruddersaddle_serving.store_eras import StoreEras
 from ruddersaddle_serving.upstream_entries import UpstreamEntry, UpstreamStart
@@ -65,7 +65,7 @@
     version: int
 
 
-Operated = Published | ModelVersion | Evacuation
+Operated = PublishedConfiguration | ModelVersion | Evacuation
 """What operators publish."""
 
 
--- a/libs/serving/ruddersaddle_serving/publications.py
+++ b/libs/serving/ruddersaddle_serving/publications.py
@@ -9,7 +9,7 @@
 
 from ruddersaddle_serving.evacuations import Evacuations
 from ruddersaddle_serving.ports import START, ModelVersion, StorePosition
-from ruddersaddle_serving.routes import Published, RouteTable
+from ruddersaddle_serving.routes import PublishedConfiguration, RouteTable
 
 logger = logging.getLogger(__name__)
 
@@ -80,15 +80,15 @@
         """Whether this host has just started and still asks others what is in force."""
         return clocks.now_s() < self.held_until
 
-    def take(self, item: Published | ModelVersion) -> None:
+    def take(self, item: PublishedConfiguration | ModelVersion) -> None:
         """Take one published item if it is newer than what is known."""
         match item:
-            case Published():
+            case PublishedConfiguration():
                 self._take_configuration(item)
             case ModelVersion():
                 self._take_version(item)
 
-    def _take_configuration(self, published: Published) -> None:
+    def _take_configuration(self, published: PublishedConfiguration) -> None:
         if published.version <= self.version:
             return
         logger.info("Configuration %d is in force, after %d.", published.version, self.version)
--- a/libs/serving/ruddersaddle_serving/routes.py
+++ b/libs/serving/ruddersaddle_serving/routes.py
@@ -51,7 +51,7 @@
         return self.kind is RouteKind.REPEATABLE or self.resumable
 
 
-class Engine(msgspec.Struct, frozen=True):
+class EngineSpec(msgspec.Struct, frozen=True):
     """What the engines of a pool can do. Sizes are in tokens."""
 
     slots: int
@@ -67,7 +67,7 @@
     """Upstreams that serve the same work; `engine` is None for plain services."""
 
     id: PoolId
-    engine: Engine | None = None
+    engine: EngineSpec | None = None
     cold_start_s: float = 0.0
     """How long an upstream is cold after a start."""
     cold_per_s: float = 0.0
@@ -103,7 +103,7 @@
     idle_timeout_s: float = 15.0
 
 
-class Published(msgspec.Struct, frozen=True):
+class PublishedConfiguration(msgspec.Struct, frozen=True):
     """One version of the configuration, whole."""
 
     version: int
@@ -119,7 +119,7 @@
 class RouteTable:
     """The routes of one configuration, found by host and path."""
 
-    def __init__(self, published: Published) -> None:
+    def __init__(self, published: PublishedConfiguration) -> None:
         self.published = published
         self.pool_by_id = {pool.id: pool for pool in published.pools}
         self._routes_by_host: dict[str, list[Route]] = {}
--- a/libs/serving/ruddersaddle_serving/store_followers.py
+++ b/libs/serving/ruddersaddle_serving/store_followers.py
@@ -20,7 +20,7 @@
     Topic,
 )
 from ruddersaddle_serving.publications import Publications
-from ruddersaddle_serving.routes import Published
+from ruddersaddle_serving.routes import PublishedConfiguration
 from ruddersaddle_serving.upstream_entries import UpstreamEntry
 from ruddersaddle_serving.upstream_lists import UpstreamList
 
@@ -155,7 +155,7 @@
                     )
                 case Evacuation():
                     evacuations.append(item)
-                case Published() | ModelVersion():
+                case PublishedConfiguration() | ModelVersion():
                     self.publications.take(item)
                     self._note_stored(item)
         self._take_evacuations(evacuations, whole, page.end)
@@ -175,9 +175,12 @@
         for each in evacuations:
             publications.evacuations.apply(each)
 
-    def _note_stored(self, item: Published | ModelVersion) -> None:
+    def _note_stored(self, item: PublishedConfiguration | ModelVersion) -> None:
         """Tell once when the store has an older configuration than the one in force."""
-        if not isinstance(item, Published) or item.version == self.publications.stored_version:
+        if (
+            not isinstance(item, PublishedConfiguration)
+            or item.version == self.publications.stored_version
+        ):
             return
         self.publications.stored_version = item.version
         known = self.publications.version
--- a/libs/serving/ruddersaddle_serving/tests/crash_replays.py
+++ b/libs/serving/ruddersaddle_serving/tests/crash_replays.py
@@ -11,7 +11,7 @@
 from ruddersaddle_base import clocks
 
 from ruddersaddle_serving.placements import RETRY_SOON_S, Choice
-from ruddersaddle_serving.routes import Pool, Published
+from ruddersaddle_serving.routes import Pool, PublishedConfiguration
 from ruddersaddle_serving.tests.load_replays import (
     POOL,
     Replay,
@@ -171,7 +171,9 @@
     def _build(self) -> None:
         super()._build()
         crashes = self.crashes
-        published = Published(1, pools=(Pool(POOL, None, crashes.cold_s, crashes.cold_per_s),))
+        published = PublishedConfiguration(
+            1, pools=(Pool(POOL, None, crashes.cold_s, crashes.cold_per_s),)
+        )
         for host in self.hosts:
             host.placement.publications.take(published)
             host.shares.hosts.known_at = self.now - JOIN_GRACE_S
--- a/libs/serving/ruddersaddle_serving/tests/test_cached_parts.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_cached_parts.py
@@ -16,7 +16,13 @@
 )
 from ruddersaddle_serving.ports import StoreChange, StoreChanges, Transfer
 from ruddersaddle_serving.prompts import Part, PartId, Prompt
-from ruddersaddle_serving.routes import ContextStore, Engine, Pool, Published, RouteTable
+from ruddersaddle_serving.routes import (
+    ContextStore,
+    EngineSpec,
+    Pool,
+    PublishedConfiguration,
+    RouteTable,
+)
 from ruddersaddle_serving.tests.fixed_clocks import FixedClockTest
 
 HALL = HallId("h")
@@ -135,12 +141,14 @@
         self.assertEqual(self.plan().save_to, (FAST.address, SLOW.address, None))
 
     def test_time_of_a_move_follows_the_configured_size_of_tokens(self) -> None:
-        engines = [Engine(8, 1000, (MODEL,), token_bytes=size) for size in (10_000, 30_000)]
+        engines = [EngineSpec(8, 1000, (MODEL,), token_bytes=size) for size in (10_000, 30_000)]
         self.kept.polls_directly = lambda spec: False
         times = []
         for engine in engines:
             pools = (Pool(PoolId("p"), engine),)
-            self.kept.apply_table(RouteTable(Published(1, pools=pools, stores=(FAST,))))
+            self.kept.apply_table(
+                RouteTable(PublishedConfiguration(1, pools=pools, stores=(FAST,)))
+            )
             times.append(self.kept.by_id[FAST.id].link_s(1000))
         self.assertAlmostEqual(times[1] / times[0], 3.0)
 
--- a/libs/serving/ruddersaddle_serving/tests/test_part_relays.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_part_relays.py
@@ -14,7 +14,7 @@
 from ruddersaddle_serving.part_relays import PartRelay
 from ruddersaddle_serving.ports import StoreListing
 from ruddersaddle_serving.publications import Publications
-from ruddersaddle_serving.routes import ContextStore, Published, RouteTable
+from ruddersaddle_serving.routes import ContextStore, PublishedConfiguration, RouteTable
 from ruddersaddle_serving.trackers import Trackers
 from ruddersaddle_serving.upstream_lists import UpstreamList
 
@@ -41,7 +41,7 @@
         )
         PartRelay(kept, neighbours).start()
         kept.start()
-        kept.apply_table(RouteTable(Published(1, stores=(SPEC,))))
+        kept.apply_table(RouteTable(PublishedConfiguration(1, stores=(SPEC,))))
         eventlet.sleep(0.01)
         engines.store_listing.assert_not_called()
         neighbours.list.take({HostId("b"): HostRecord("10.0.0.3:1", HALL)})
--- a/libs/serving/ruddersaddle_serving/tests/test_placements.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_placements.py
@@ -20,7 +20,14 @@
 from ruddersaddle_serving.ports import ModelVersion, StorePosition
 from ruddersaddle_serving.prompts import CallerHead, CallerRequest, Part, PartId, Prompt
 from ruddersaddle_serving.publications import Publications
-from ruddersaddle_serving.routes import Pool, Published, Route, RouteKind, RouteName, Target
+from ruddersaddle_serving.routes import (
+    Pool,
+    PublishedConfiguration,
+    Route,
+    RouteKind,
+    RouteName,
+    Target,
+)
 from ruddersaddle_serving.self_reports import LimitUpdate
 from ruddersaddle_serving.tests.fixed_clocks import FixedClockTest
 from ruddersaddle_serving.trackers import Tracker, Trackers
@@ -252,7 +259,7 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.publications.take(Published(1, pools=(Pool(POOL, None, 3.0, 2.0),)))
+        self.publications.take(PublishedConfiguration(1, pools=(Pool(POOL, None, 3.0, 2.0),)))
         self.hosts.replace({})
         self.now += JOIN_GRACE_S
 
--- a/libs/serving/ruddersaddle_serving/tests/test_publications.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_publications.py
@@ -7,7 +7,13 @@
 
 from ruddersaddle_serving.ports import ModelVersion, StorePosition
 from ruddersaddle_serving.publications import START_GRACE_S, Publications
-from ruddersaddle_serving.routes import Published, Route, RouteKind, RouteName, RouteTable
+from ruddersaddle_serving.routes import (
+    PublishedConfiguration,
+    Route,
+    RouteKind,
+    RouteName,
+    RouteTable,
+)
 from ruddersaddle_serving.tests.fixed_clocks import FixedClockTest
 
 MODEL = ModelId("m")
@@ -21,7 +27,7 @@
     def test_versions_never_go_back(self) -> None:
         publications = Publications()
         for version in (3, 2, 5, 4):
-            publications.take(Published(version))
+            publications.take(PublishedConfiguration(version))
             publications.take(ModelVersion(MODEL, version))
         self.assertEqual(publications.version, 5)
         self.assertEqual(publications.version_by_model, {MODEL: 5})
@@ -49,7 +55,7 @@
         heard = []
         publications.listeners.append(lambda table: heard.append(table.published.version))
         for version in (3, 3, 2, 4):
-            publications.take(Published(version))
+            publications.take(PublishedConfiguration(version))
         self.assertEqual(heard, [3, 4])
 
 
@@ -130,7 +136,7 @@
             make_route("short", "a.example", "/x/"),
             make_route("other", "b.example", "/x/y/z/"),
         )
-        table = RouteTable(Published(1, routes))
+        table = RouteTable(PublishedConfiguration(1, routes))
         places = ("/x/y/z/1", "/x/z", "/xy", "/x/y")
         names = [table.find("A.example:80", path).name for path in places]
         self.assertEqual(names, ["long", "short", "all", "short"])
--- a/libs/serving/ruddersaddle_serving/tests/test_trackers.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_trackers.py
@@ -5,7 +5,7 @@
 from ruddersaddle_base.ids import HallId, ModelId, PoolId, RequestId, UpstreamId
 
 from ruddersaddle_serving.prompts import Part, PartId
-from ruddersaddle_serving.routes import Engine, Pool, Published, RouteTable
+from ruddersaddle_serving.routes import EngineSpec, Pool, PublishedConfiguration, RouteTable
 from ruddersaddle_serving.self_reports import LimitUpdate
 from ruddersaddle_serving.tests.fixed_clocks import FixedClockTest
 from ruddersaddle_serving.trackers import Assignment, Notice, Progress, Trackers
@@ -22,8 +22,8 @@
 
 
 def make_table(memory_tokens: int) -> RouteTable:
-    engine = Engine(8, memory_tokens, (ModelId("m"),))
-    return RouteTable(Published(1, pools=(Pool(POOL, engine),)))
+    engine = EngineSpec(8, memory_tokens, (ModelId("m"),))
+    return RouteTable(PublishedConfiguration(1, pools=(Pool(POOL, engine),)))
 
 
 class MemoryTest(unittest.TestCase):
--- a/libs/serving/ruddersaddle_serving/tests/test_upstream_quotas.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_upstream_quotas.py
@@ -10,7 +10,7 @@
 from ruddersaddle_serving.evacuations import Evacuation
 from ruddersaddle_serving.hosts import HostRecord, Hosts
 from ruddersaddle_serving.publications import Publications
-from ruddersaddle_serving.routes import Pool, Published
+from ruddersaddle_serving.routes import Pool, PublishedConfiguration
 from ruddersaddle_serving.self_reports import (
     LIMIT_TRUST_S,
     RAMP_DOUBLING_S,
@@ -83,7 +83,7 @@
             hosts = Hosts(HostId(host), HostRecord(f"{host}:1", HALL), [])
             hosts.replace(records(known))
             publications = Publications()
-            publications.take(Published(1, pools=(Pool(POOL, None, COLD_S, per_s),)))
+            publications.take(PublishedConfiguration(1, pools=(Pool(POOL, None, COLD_S, per_s),)))
             upstreams = UpstreamList()
             upstreams.put(self.upstream)
             self.shares.append(UpstreamQuotas(hosts, publications, upstreams))
