--- a/libs/serving/ruddersaddle_serving/neighbour_messages.py
+++ b/libs/serving/ruddersaddle_serving/neighbour_messages.py
@@ -9,7 +9,7 @@
 from ruddersaddle_serving.fingerprints import Fingerprint
 from ruddersaddle_serving.hosts import HostRecord
 from ruddersaddle_serving.load_shares import LoadSums, Notices
-from ruddersaddle_serving.part_updates import AskParts, PartsUpdate, StoreLost
+from ruddersaddle_serving.part_updates import PartsRequest, PartsUpdate, StoreLost
 from ruddersaddle_serving.ports import START, ModelVersion, StorePosition
 from ruddersaddle_serving.publications import NamingAge
 from ruddersaddle_serving.routes import PublishedConfiguration
@@ -112,7 +112,7 @@
     | Loaded
     | Notices
     | LoadSums
-    | AskParts
+    | PartsRequest
     | PartsUpdate
     | StoreLost
     | CrashNews
--- a/libs/serving/ruddersaddle_serving/neighbours.py
+++ b/libs/serving/ruddersaddle_serving/neighbours.py
@@ -26,7 +26,7 @@
     News,
     Noted,
 )
-from ruddersaddle_serving.part_updates import AskParts, StoreLost, make_parts_update
+from ruddersaddle_serving.part_updates import PartsRequest, StoreLost, make_parts_update
 from ruddersaddle_serving.peers import Peers
 from ruddersaddle_serving.ports import (
     MetadataStore,
@@ -271,7 +271,7 @@
                 self.loads.take_sums(message)
             case CrashNews():
                 self.crashes.take(message)
-            case AskParts():
+            case PartsRequest():
                 return make_parts_update(self.kept, message)
             case StoreLost():
                 self._note_store_lost(message)
--- a/libs/serving/ruddersaddle_serving/part_relays.py
+++ b/libs/serving/ruddersaddle_serving/part_relays.py
@@ -7,7 +7,12 @@
 
 from ruddersaddle_serving.cached_parts import RESERVED_WATCHERS, CachedParts
 from ruddersaddle_serving.neighbours import ASK_S, Neighbours
-from ruddersaddle_serving.part_updates import AskParts, PartsUpdate, Position, apply_store_update
+from ruddersaddle_serving.part_updates import (
+    KnownRevision,
+    PartsRequest,
+    PartsUpdate,
+    apply_store_update,
+)
 from ruddersaddle_serving.routes import ContextStore
 from ruddersaddle_serving.tasks import spawn_forever
 
@@ -68,10 +73,11 @@
     def _ask(self, specs: list[ContextStore]) -> None:
         reader = self.neighbours.hosts.hall_reader()
         positions = tuple(
-            Position(spec.id, self._revision_by_source.get((reader, spec.id), -1)) for spec in specs
+            KnownRevision(spec.id, self._revision_by_source.get((reader, spec.id), -1))
+            for spec in specs
         )
         asked_at = clocks.now_s()
-        answer = self.neighbours.peers.ask(reader, AskParts(positions), ASK_S)
+        answer = self.neighbours.peers.ask(reader, PartsRequest(positions), ASK_S)
         if not isinstance(answer, PartsUpdate):
             logger.info("Reader %s tells nothing of context stores.", reader)
             self.neighbours.hosts.note_silent(reader)
--- a/libs/serving/ruddersaddle_serving/part_updates.py
+++ b/libs/serving/ruddersaddle_serving/part_updates.py
@@ -12,17 +12,17 @@
 """Parts in one answer, unless a single store has more: about 120 KB."""
 
 
-class Position(msgspec.Struct, frozen=True, array_like=True):
+class KnownRevision(msgspec.Struct, frozen=True, array_like=True):
     """How far the asker knows a store, by the revision of the host that it asks."""
 
     store: StoreId
     revision: int
 
 
-class AskParts(msgspec.Struct, frozen=True, tag="ask_parts"):
+class PartsRequest(msgspec.Struct, frozen=True, tag="ask_parts"):
     """Asks what has changed at context stores."""
 
-    positions: tuple[Position, ...]
+    positions: tuple[KnownRevision, ...]
 
 
 class StoreUpdate(msgspec.Struct, frozen=True, array_like=True):
@@ -52,7 +52,7 @@
     store: StoreId
 
 
-def make_parts_update(kept: CachedParts, question: AskParts) -> PartsUpdate:
+def make_parts_update(kept: CachedParts, question: PartsRequest) -> PartsUpdate:
     """Return what the asker does not know yet."""
     told: list[StoreUpdate] = []
     rows = 0
--- a/libs/serving/ruddersaddle_serving/tests/test_part_updates.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_part_updates.py
@@ -8,9 +8,9 @@
 from ruddersaddle_serving.cached_parts import CachedParts
 from ruddersaddle_serving.context_stores import LISTING_TRUST_S, RECENT_CHANGES_MAX, StoreView
 from ruddersaddle_serving.part_updates import (
-    AskParts,
+    KnownRevision,
+    PartsRequest,
     PartsUpdate,
-    Position,
     apply_store_update,
     make_parts_update,
 )
@@ -40,7 +40,9 @@
         """Ask and take the answer, each way taking `way_s`."""
         asked_at = self.now
         self.now += way_s
-        news = make_parts_update(self.reader, AskParts((Position(SPEC.id, self.revision),)))
+        news = make_parts_update(
+            self.reader, PartsRequest((KnownRevision(SPEC.id, self.revision),))
+        )
         self.now += way_s
         for each in news.stores:
             apply_store_update(self.told, each, asked_at)
@@ -80,7 +82,7 @@
 
     def test_answer_from_before_the_loss_of_a_store_does_not_restore_it(self) -> None:
         asked_at = self.now
-        news = make_parts_update(self.reader, AskParts((Position(SPEC.id, -1),)))
+        news = make_parts_update(self.reader, PartsRequest((KnownRevision(SPEC.id, -1),)))
         self.now += 0.01
         self.told.record_lost()
         apply_store_update(self.told, news.stores[0], asked_at)
