--- a/libs/routing/ruddersaddle_routing/__init__.py
+++ b/libs/routing/ruddersaddle_routing/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions under load: which upstream, who waits, who is refused, what is tried again."""
+"""Load-based routing: upstream selection, fair queueing, concurrency limits, retries."""
--- a/libs/routing/ruddersaddle_routing/choices.py
+++ b/libs/routing/ruddersaddle_routing/choices.py
@@ -1,4 +1,4 @@
-"""The choice of an upstream for one prompt, by one of several policies."""
+"""Selects an upstream for a prompt by one of several policies."""
 
 import itertools
 from collections.abc import Callable, Sequence
@@ -12,36 +12,36 @@
 from ruddersaddle_routing.rendezvous import rank_names
 
 HOME_BONUS_S = 0.1
-"""By what the prefix's first choice by rendezvous hash may be slower, in seconds.
+"""How much slower a home engine may be and still be chosen.
 
-Hosts that see a new prefix at the same time so agree on one engine to compute it.
+Without it, hosts that see a new prefix at the same time would each compute it on another engine.
 """
 CACHE_WEIGHT = 1.0
-"""Weight of computing again what new blocks drive out of the engine's cache."""
+"""Weight of recomputing the blocks that new ones evict from the engine's cache."""
 WORK_WEIGHT = 1.0
-"""Weight of the work that a choice costs the engine, beside the wait of its own caller."""
+"""Weight of the engine's work relative to the wait of the request's own caller."""
 
 
 @dataclass(frozen=True)
 class RoundRobin:
-    """Each upstream in turn."""
+    """Chooses each upstream in turn."""
 
     turn: itertools.count = field(default_factory=itertools.count)
 
 
 @dataclass(frozen=True)
 class LeastLoad:
-    """The lowest load as reported, lag and all."""
+    """Chooses the lowest reported load, without correcting for its age."""
 
 
 @dataclass(frozen=True)
 class HashAffinity:
-    """The prefix's first choice by rendezvous hash that is open."""
+    """Chooses the open upstream that rendezvous hashing prefers for the prefix."""
 
 
 @dataclass(frozen=True)
 class Predicted:
-    """The lowest predicted time to the first token, over compute and links."""
+    """Chooses the lowest predicted time to first token, over computation and transfers."""
 
 
 Policy = RoundRobin | LeastLoad | HashAffinity | Predicted
@@ -54,8 +54,10 @@
 
 
 class Prompt(msgspec.Struct):
-    """What a choice has to know of a prompt: its tokens, its chain for each weight version, and the
-    engines that a marked template is at home on, if it has one.
+    """What a choice needs to know of a prompt.
+
+    `keys_of` returns its block chain for a weight version; `homes` are the home engines of its
+    marked template, if it has one.
     """
 
     tokens: int
@@ -64,7 +66,7 @@
 
 
 class StoredChain(msgspec.Struct, frozen=True):
-    """What a store host holds of a chain, and the predicted seconds to fetch each block."""
+    """How much of a block chain a store host holds, and the predicted time to fetch it."""
 
     blocks: int = 0
     seconds_per_block: float = 0.0
@@ -72,7 +74,10 @@
 
 
 class Choice(msgspec.Struct):
-    """An upstream, how many kept blocks to fetch into it first, and the predicted first token."""
+    """A chosen upstream, with the stored blocks to fetch into it first.
+
+    `predicted_s` is the predicted time to the first token.
+    """
 
     load: Load
     cached_blocks: int
@@ -83,7 +88,7 @@
 
 
 class Chooser:
-    """Chooses upstreams by one policy; `hosts` is how many entry hosts share the upstreams."""
+    """Chooses upstreams by one policy; `hosts` is the number of hosts that share them."""
 
     def __init__(self, policy: Policy, prefill_tokens_s: float) -> None:
         self.policy = policy
@@ -92,34 +97,34 @@
 
     @classmethod
     def from_name(cls, name: str, prefill_tokens_s: float) -> "Chooser":
-        """Return a chooser with the policy of that name."""
+        """Return a chooser with the named policy."""
         return cls(POLICY_BY_NAME[name](), prefill_tokens_s)
 
-    def choose(self, loads: Sequence[Load], prompt: Prompt, kept: StoredChain) -> Choice | None:
-        """Return the choice among the loads that are open, or None."""
-        found = [load for load in loads if load.is_open]
-        if not found:
+    def choose(self, loads: Sequence[Load], prompt: Prompt, stored: StoredChain) -> Choice | None:
+        """Return the choice among the open upstreams, or None if none is open."""
+        open_loads = [load for load in loads if load.is_open]
+        if not open_loads:
             return None
         match self.policy:
             case RoundRobin(turn):
-                load = found[next(turn) % len(found)]
+                load = open_loads[next(turn) % len(open_loads)]
             case LeastLoad():
-                load = min(found, key=_reported)
+                load = min(open_loads, key=_reported_load)
             case HashAffinity():
-                load = self._first_by_hash(found, prompt)
+                load = self._choose_by_hash(open_loads, prompt)
             case Predicted():
-                return self._choose_predicted(found, prompt, kept)
-        return self._plan(load, prompt, kept)
+                return self._choose_predicted(open_loads, prompt, stored)
+        return self._plan(load, prompt, stored)
 
-    def _choose_predicted(self, loads: list[Load], prompt: Prompt, kept: StoredChain) -> Choice:
-        """Return the plan with the lowest predicted first token and work together.
+    def _choose_predicted(self, loads: list[Load], prompt: Prompt, stored: StoredChain) -> Choice:
+        """Return the plan with the lowest sum of time to first token and engine work.
 
-        Work counts, since tokens that are computed again delay all who come after.
+        Work counts because recomputed tokens delay every later request.
         """
-        by_id = {load.upstream: self._plan(load, prompt, kept) for load in loads}
+        by_id = {load.upstream: self._plan(load, prompt, stored) for load in loads}
         homes = [upstream for upstream in prompt.homes if upstream in by_id]
         if not homes:
-            homes = rank_names(_root(loads[0], prompt), by_id)[:1]
+            homes = rank_names(_first_key(loads[0], prompt), by_id)[:1]
         return min(by_id.values(), key=lambda plan: self._score(plan, homes))
 
     def _score(self, plan: Choice, homes: Sequence[UpstreamId]) -> float:
@@ -129,40 +134,40 @@
         bonus_s = HOME_BONUS_S if plan.load.upstream in homes else 0.0
         return plan.predicted_s + WORK_WEIGHT * work_s + CACHE_WEIGHT * cache_s - bonus_s
 
-    def _first_by_hash(self, loads: list[Load], prompt: Prompt) -> Load:
+    def _choose_by_hash(self, loads: list[Load], prompt: Prompt) -> Load:
         by_id = {load.upstream: load for load in loads}
-        return by_id[rank_names(_root(loads[0], prompt), by_id)[0]]
+        return by_id[rank_names(_first_key(loads[0], prompt), by_id)[0]]
 
-    def _plan(self, load: Load, prompt: Prompt, kept: StoredChain) -> Choice:
-        """Return the cheaper of computing and of fetching what the upstream's cache lacks."""
+    def _plan(self, load: Load, prompt: Prompt, stored: StoredChain) -> Choice:
+        """Return the faster plan: computing or fetching what the upstream's cache lacks."""
         keys = prompt.keys_of(load.version)
-        # Blocks on their way may be gone again; where they are kept, a fetch is the surer way.
-        cached = load.count_confirmed(keys) if kept.blocks else load.count_cached(keys)
+        # Pending blocks may already be evicted; if a store holds them, a fetch is more reliable.
+        cached = load.count_confirmed(keys) if stored.blocks else load.count_cached(keys)
         new = len(keys) - cached
         speed = load.prefill_tokens_s(self.prefill_tokens_s)
         wait_s = load.waiting_tokens(self.hosts) / speed
-        compute = self._missing(prompt, cached)
+        compute = self._missing_tokens(prompt, cached)
         compute_s = wait_s + compute / speed
-        if kept.blocks <= cached:
+        if stored.blocks <= cached:
             return Choice(load, cached, 0, compute_s, compute, new)
-        fetched = kept.blocks - cached
-        fetch_s = kept.wait_s + fetched * kept.seconds_per_block
-        after_fetch = self._missing(prompt, kept.blocks)
+        fetched = stored.blocks - cached
+        fetch_s = stored.wait_s + fetched * stored.seconds_per_block
+        after_fetch = self._missing_tokens(prompt, stored.blocks)
         fetch_total_s = max(wait_s, fetch_s) + after_fetch / speed
         if fetch_total_s < compute_s:
-            return Choice(load, cached, kept.blocks, fetch_total_s, after_fetch, new)
+            return Choice(load, cached, stored.blocks, fetch_total_s, after_fetch, new)
         return Choice(load, cached, 0, compute_s, compute, new)
 
-    def _missing(self, prompt: Prompt, blocks: int) -> int:
+    def _missing_tokens(self, prompt: Prompt, blocks: int) -> int:
         return max(1, prompt.tokens - blocks * BLOCK_TOKENS)
 
 
-def _reported(load: Load) -> float:
+def _reported_load(load: Load) -> float:
     if load.report is None:
         return 0.0
     return load.report.waiting_tokens + load.report.running
 
 
-def _root(load: Load, prompt: Prompt) -> str:
+def _first_key(load: Load, prompt: Prompt) -> str:
     keys = prompt.keys_of(load.version)
     return keys[0] if keys else ""
--- a/libs/routing/ruddersaddle_routing/limits.py
+++ b/libs/routing/ruddersaddle_routing/limits.py
@@ -5,7 +5,7 @@
 
 
 class AdaptiveLimit:
-    """How many calls one upstream may have in flight from this host."""
+    """Bounds how many calls this host has in flight at one upstream."""
 
     def __init__(self, start: int, maximum: int) -> None:
         self.limit = float(start)
@@ -14,7 +14,7 @@
 
     @property
     def has_room(self) -> bool:
-        """Whether one more call may start."""
+        """Whether another call may start."""
         return self.in_flight < int(self.limit)
 
     def begin(self) -> None:
@@ -22,7 +22,10 @@
         self.in_flight += 1
 
     def end(self, overloaded: bool) -> None:
-        """Count a call that ended, and adapt."""
+        """Count a call that has ended, and adapt the limit.
+
+        The limit grows only while it is nearly used up.
+        """
         was_full = self.in_flight >= int(self.limit) - 1
         self.in_flight -= 1
         if overloaded:
--- a/libs/routing/ruddersaddle_routing/loads.py
+++ b/libs/routing/ruddersaddle_routing/loads.py
@@ -1,4 +1,4 @@
-"""What a host knows of one upstream: lagged load, what was sent since, cache, limit, circuit."""
+"""This host's view of one upstream: reported load, requests sent since, cache, limit, circuit."""
 
 import time
 from collections import deque
@@ -10,17 +10,17 @@
 from ruddersaddle_routing.retries import Circuit
 
 SENT_RETENTION_S = 10.0
-"""Requests sent longer ago than this are in every report, in seconds."""
+"""Requests sent longer ago than this are included in every report."""
 RATE_WINDOW_S = 3.0
-"""Time over which the rate of sending is taken, in seconds."""
+"""Window over which this host's send rate is averaged."""
 PENDING_TIMEOUT_S = 10.0
-"""Blocks sent for computation count as cached for this long, until events tell, in seconds."""
+"""Blocks of a sent prompt count as cached for this long unless cache events say otherwise."""
 REPORT_AGE_MAX_S = 5.0
-"""A report older than this is not used."""
+"""Older reports are ignored."""
 
 
 class SentRequest:
-    """One request that was sent: its tokens to prefill, when, and whether they are done."""
+    """A request sent to an upstream, with the tokens that it needs prefilled."""
 
     def __init__(self, tokens: int) -> None:
         self.tokens = tokens
@@ -28,21 +28,26 @@
         self.is_done = False
 
     def finish(self) -> None:
-        """Note that the prefill is done, or that the request was given up."""
+        """Record that the prefill is done or the request was abandoned."""
         self.is_done = True
 
 
 class Load:
-    """One upstream's load as this host predicts it."""
+    """One upstream's load as this host estimates it."""
 
     def __init__(
-        self, upstream: UpstreamId, address: str, hall: HallId, limit: AdaptiveLimit, c: Circuit
+        self,
+        upstream: UpstreamId,
+        address: str,
+        hall: HallId,
+        limit: AdaptiveLimit,
+        circuit: Circuit,
     ) -> None:
         self.upstream = upstream
         self.address = address
         self.hall = hall
         self.limit = limit
-        self.circuit = c
+        self.circuit = circuit
         self.version = ""
         self.leaving = False
         self.cached: set[BlockKey] = set()
@@ -56,7 +61,7 @@
 
     @property
     def may_accept_work(self) -> bool:
-        """Whether new work may be sent now, or once a call has ended."""
+        """Whether new work may be sent, now or as soon as a call ends."""
         return not self.leaving and self.circuit.may_pass()
 
     @property
@@ -65,7 +70,7 @@
         return self.may_accept_work and self.limit.has_room
 
     def apply_report(self, report: LoadReport) -> None:
-        """Take a new report, which was measured `age_s` seconds ago."""
+        """Apply a report that was measured `report.age_s` seconds ago."""
         self.report = report
         self._reported_at = time.monotonic()
         self.measured_at = self._reported_at - report.age_s
@@ -76,12 +81,15 @@
             self._sent.popleft()
 
     def record_version(self, version: str) -> None:
-        """Take the engine's own word for its weight version; older reports don't undo it."""
+        """Record the version of weights that the engine itself stated.
+
+        Reports that were measured earlier don't override it.
+        """
         self.version = version
         self._version_at = time.monotonic()
 
     def record_sent(self, tokens: int, keys: list[BlockKey]) -> SentRequest:
-        """Count a request that was sent, with the blocks that it will leave in the cache."""
+        """Record a sent request and the blocks that it will add to the engine's cache."""
         sent = SentRequest(tokens)
         self._sent.append(sent)
         for key in keys:
@@ -89,12 +97,12 @@
         return sent
 
     def waiting_tokens(self, hosts: int) -> float:
-        """Return the tokens predicted to wait for prefill.
+        """Return the estimated number of tokens that wait for prefill.
 
-        That is what was reported, and what has come since the report was measured, less what the
-        engine has computed since. The other hosts are taken to send at the rate at which this one
-        has sent over the last seconds, since the platform's balancer spreads callers evenly; what
-        this one has just sent says too little of them.
+        That is the reported number, plus what was sent since the report was measured, minus what
+        the engine has computed since. The other hosts are assumed to send at this host's average
+        rate, as the balancer spreads callers evenly; what this host sent since the report is too
+        small a sample for that.
         """
         now = time.monotonic()
         own = float(sum(sent.tokens for sent in self._sent if not sent.is_done))
@@ -108,11 +116,11 @@
         return max(own, self.report.waiting_tokens + since + others - computed)
 
     def prefill_tokens_s(self, default: float) -> float:
-        """Return the reported speed of prefill, or a default."""
+        """Return the reported prefill speed, or `default` without a report."""
         return self.report.prefill_tokens_s if self.report else default
 
     def count_cached(self, keys: list[BlockKey]) -> int:
-        """Return how many blocks from the chain's start are cached or soon will be."""
+        """Return how many leading blocks of a chain are cached or soon will be."""
         count = 0
         for key in keys:
             if key not in self.cached and not self._is_pending(key):
@@ -121,7 +129,7 @@
         return count
 
     def count_confirmed(self, keys: list[BlockKey]) -> int:
-        """Return how many blocks from the chain's start the engine has said are cached."""
+        """Return how many leading blocks of a chain the engine has reported as cached."""
         count = 0
         for key in keys:
             if key not in self.cached:
@@ -139,12 +147,12 @@
         return False
 
     def clear_cache(self) -> None:
-        """Forget the cache, after a gap in events or a restart of the engine."""
+        """Clear the view of the cache, after a gap in events or a restart of the engine."""
         self.cached.clear()
         self._pending.clear()
 
     def apply_event(self, stored: bool, key: BlockKey) -> None:
-        """Take one cache event."""
+        """Apply one cache event."""
         self._pending.pop(key, None)
         if stored:
             self.cached.add(key)
--- a/libs/routing/ruddersaddle_routing/queues.py
+++ b/libs/routing/ruddersaddle_routing/queues.py
@@ -1,8 +1,8 @@
 """Fair queueing of workspaces for the slots of a pool.
 
 Start-time fair queueing (Goyal, Vin and Cheng, 1996): each request gets a start tag from its
-workspace's last finish tag, and the smallest tag goes first. A workspace that floods waits behind
-its own requests; the quiet ones do not.
+workspace's last finish tag, and the request with the smallest tag goes first. A workspace that
+floods the pool waits behind its own requests and doesn't delay the others.
 """
 
 import heapq
@@ -14,9 +14,9 @@
 from ruddersaddle_base.ids import WorkspaceId
 
 SMOOTHING = 0.1
-"""Weight of the newest hold in the mean."""
+"""Weight of the newest hold time in the moving average."""
 INITIAL_HOLD_S = 0.3
-"""Mean hold of a slot before any was measured, in seconds."""
+"""Mean hold time of a slot before any has been released."""
 
 
 class Waiter:
@@ -30,8 +30,8 @@
 class FairQueue:
     """Slots of one pool on this host.
 
-    `capacity` tells how many slots there are right now; `is_open` whether the upstreams can do
-    with more work. What waits here waits in fair turn; what waits at an upstream does not.
+    `capacity` returns the current number of slots, `is_open` whether the upstreams can use more
+    work. Requests are held back here because they are ordered fairly here, but not at an upstream.
     """
 
     def __init__(
@@ -50,18 +50,18 @@
 
     @property
     def has_room(self) -> bool:
-        """Whether a slot is free."""
+        """Whether a slot is free; the first one is so even while `is_open` is false."""
         return self.in_use < self.capacity() and (self.in_use == 0 or self.is_open())
 
     @property
     def waiting(self) -> int:
-        """How many requests wait."""
+        """Number of waiting requests."""
         return sum(self.waiting_by_workspace.values())
 
     def predict_wait_s(self, workspace: WorkspaceId) -> float:
-        """Return about how long a new request of a workspace would wait, in seconds.
+        """Return the estimated wait of a new request of a workspace.
 
-        Those ahead of it are its own workspace's and as many of each other waiting one.
+        Ahead of it are its workspace's waiting requests and up to as many of each other workspace.
         """
         if self.waiting == 0 and self.has_room:
             return 0.0
@@ -70,7 +70,7 @@
         return ahead * self.mean_hold_s / max(1, self.capacity())
 
     def acquire(self, workspace: WorkspaceId, weight: float, cost: float, timeout_s: float) -> bool:
-        """Wait for a slot; return False if none came in time. A granted slot is to be released."""
+        """Wait for a slot; return False on timeout. The caller must release a granted slot."""
         tag = max(self.virtual_time, self.finish_by_workspace.get(workspace, 0.0))
         self.finish_by_workspace[workspace] = tag + cost / weight
         if not self._heap and self.has_room:
@@ -90,12 +90,12 @@
             self._wait(workspace, -1)
 
     def count_of(self, workspace: WorkspaceId) -> int:
-        """Return how many requests of a workspace wait or hold a slot."""
+        """Return how many requests of a workspace wait for or hold a slot."""
         waiting = self.waiting_by_workspace.get(workspace, 0)
         return waiting + self.held_by_workspace.get(workspace, 0)
 
     def release(self, workspace: WorkspaceId, held_s: float) -> None:
-        """Give a slot back that a workspace held for so many seconds."""
+        """Release a slot that a workspace held for `held_s`."""
         self._hold(workspace, -1)
         self.in_use -= 1
         self.mean_hold_s += SMOOTHING * (held_s - self.mean_hold_s)
@@ -112,7 +112,7 @@
         self.virtual_time = max(self.virtual_time, tag)
 
     def wake(self) -> None:
-        """Give free slots to the requests with the smallest tags."""
+        """Grant free slots to the waiting requests with the smallest tags."""
         while self._heap and self.has_room:
             tag, _, item = heapq.heappop(self._heap)
             if item.abandoned or item.signal.ready():
--- a/libs/routing/ruddersaddle_routing/rendezvous.py
+++ b/libs/routing/ruddersaddle_routing/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: every host ranks the same names for a key alike, without any agreement.
+"""Rendezvous hashing: all hosts rank the same names alike for a key, without coordination.
 
 Source: Thaler and Ravishankar, "Using name-based mappings to increase hit rates", 1998.
 """
@@ -10,7 +10,7 @@
 
 
 def rank_names(key: str, names: Iterable[str]) -> list[str]:
-    """Return `names` from the first choice for `key` to the last."""
+    """Return `names` in order of preference for `key`."""
     return sorted(names, key=lambda name: _weight(key, name), reverse=True)
 
 
--- a/libs/routing/ruddersaddle_routing/retries.py
+++ b/libs/routing/ruddersaddle_routing/retries.py
@@ -1,14 +1,14 @@
-"""Retry budgets and circuits, so that failures don't multiply load."""
+"""Retry budgets and circuit breakers, which keep failures from multiplying load."""
 
 import time
 from enum import Enum
 
 BUDGET_MAX = 10.0
-"""Most retries that a quiet time can save up."""
+"""Retries that may accumulate while there are no failures."""
 
 
 class RetryBudget:
-    """Retries as a share of first tries."""
+    """Allows retries as a share of first attempts."""
 
     def __init__(self, share: float) -> None:
         self.share = share
@@ -18,11 +18,11 @@
         self.denied = 0
 
     def record_first_attempt(self) -> None:
-        """Count a first try."""
+        """Credit the budget for a first attempt."""
         self.balance = min(self.balance_max, self.balance + self.share)
 
     def try_spend(self) -> bool:
-        """Take one retry if the budget has one."""
+        """Spend one retry; return False if the budget has none."""
         if self.balance < 1.0:
             self.denied += 1
             return False
@@ -40,7 +40,10 @@
 
 
 class Circuit:
-    """Keeps calls from an upstream that fails; one probe at a time is let through after a pause."""
+    """Circuit breaker of one upstream.
+
+    It opens after `failures_open` failures in a row; after `open_s` it admits one probe at a time.
+    """
 
     def __init__(self, failures_open: int, open_s: float) -> None:
         self.failures_open = failures_open
@@ -51,7 +54,7 @@
 
     @property
     def state(self) -> CircuitState:
-        """The present state."""
+        """The current state."""
         if self.failures < self.failures_open:
             return CircuitState.CLOSED
         if time.monotonic() - self.opened_at < self.open_s:
@@ -68,12 +71,12 @@
         return not self.probing
 
     def begin(self) -> None:
-        """Count a call that starts; in half-open state it is the probe."""
+        """Record the start of a call, which is the probe if the circuit is half open."""
         if self.state is CircuitState.HALF_OPEN:
             self.probing = True
 
     def end(self, failed: bool) -> None:
-        """Count a call that ended."""
+        """Record the end of a call."""
         self.probing = False
         if not failed:
             self.failures = 0
--- a/libs/routing/ruddersaddle_routing/tests/test_choices.py
+++ b/libs/routing/ruddersaddle_routing/tests/test_choices.py
@@ -1,4 +1,4 @@
-"""Tests of decisions: stated outcomes for stated loads, without any clock or process."""
+"""Tests of the choice of an upstream for given loads, without clocks or processes."""
 
 import unittest
 
@@ -25,19 +25,19 @@
 
 
 class ChoiceTest(unittest.TestCase):
-    def choose(self, loads, kept=None, policy="predicted", homes=()):
+    def choose(self, loads, stored=None, policy="predicted", homes=()):
         prompt = Prompt(TOKENS, homes, lambda _version: KEYS)
-        return Chooser.from_name(policy, SPEED).choose(loads, prompt, kept or StoredChain())
+        return Chooser.from_name(policy, SPEED).choose(loads, prompt, stored or StoredChain())
 
-    def test_the_holder_of_the_prefix_is_taken_while_it_is_not_hot(self):
+    def test_engine_that_caches_the_prefix_is_chosen_unless_overloaded(self):
         choice = self.choose([new_load("idle"), new_load("holder", waiting=300, cached=10)])
         self.assertEqual((choice.load.address, choice.cached_blocks), ("holder", 10))
 
-    def test_affinity_yields_when_the_holder_is_hot(self):
+    def test_overloaded_engine_is_not_chosen_for_its_cached_prefix(self):
         choice = self.choose([new_load("idle"), new_load("holder", waiting=9000, cached=10)])
         self.assertEqual(choice.load.address, "idle")
 
-    def test_kept_context_is_fetched_where_that_beats_computing(self):
+    def test_stored_context_is_fetched_if_that_is_faster_than_computing(self):
         fast = self.choose([new_load("a")], StoredChain(10, seconds_per_block=0.001))
         self.assertEqual(fast.fetch_until, 10)
         slow = self.choose([new_load("a")], StoredChain(10, seconds_per_block=1.0))
@@ -45,7 +45,7 @@
         queued = self.choose([new_load("a")], StoredChain(10, 0.001, wait_s=5.0))
         self.assertEqual(queued.fetch_until, 0)
 
-    def test_what_the_engine_caches_is_not_fetched(self):
+    def test_cached_blocks_are_not_fetched(self):
         choice = self.choose([new_load("a", cached=10)], StoredChain(10, 0.001))
         self.assertEqual(choice.fetch_until, 0)
 
--- a/libs/routing/ruddersaddle_routing/tests/test_homes.py
+++ b/libs/routing/ruddersaddle_routing/tests/test_homes.py
@@ -1,4 +1,4 @@
-"""Tests of homes: even, the same on every host, and little moved by a lost engine."""
+"""Tests of home assignment: evenly spread and the same on every host."""
 
 import unittest
 from collections import Counter
@@ -16,8 +16,8 @@
         self.assertEqual(set(counts.values()), {2})
 
     def test_the_order_of_engines_and_templates_does_not_matter(self):
-        turned = dict(reversed(TEMPLATES.items()))
-        self.assertEqual(assign_homes(TEMPLATES, ENGINES), assign_homes(turned, ENGINES[::-1]))
+        reordered = dict(reversed(TEMPLATES.items()))
+        self.assertEqual(assign_homes(TEMPLATES, ENGINES), assign_homes(reordered, ENGINES[::-1]))
 
     def test_copies_are_on_different_engines_and_no_more_than_there_are(self):
         homes = assign_homes({"a": 3, "b": 9}, ENGINES)
--- a/libs/routing/ruddersaddle_routing/tests/test_loads.py
+++ b/libs/routing/ruddersaddle_routing/tests/test_loads.py
@@ -1,4 +1,4 @@
-"""Tests of the predicted load: a lagged report corrected by what this host knows."""
+"""Tests of the estimated load: an old report corrected by what this host knows."""
 
 import time
 import unittest
@@ -28,13 +28,13 @@
     def report(self, waiting: int, age_s: float) -> None:
         self.load.apply_report(LoadReport(waiting, 0, "v1", 8000.0, age_s))
 
-    def test_what_was_sent_since_the_report_is_added_and_what_was_computed_taken_off(self):
+    def test_estimate_adds_requests_sent_since_the_report_and_subtracts_computed_tokens(self):
         self.report(5000, 0.5)
         self.now += 0.1
         self.load.record_sent(600, [])
         self.assertAlmostEqual(self.load.waiting_tokens(hosts=1), 5000 + 600 - 0.6 * 8000)
 
-    def test_other_hosts_are_taken_to_send_at_this_ones_rate(self):
+    def test_other_hosts_are_assumed_to_send_at_this_hosts_rate(self):
         self.report(9000, 0.5)
         self.now += 0.1
         self.load.record_sent(600, [])
@@ -42,20 +42,20 @@
         expected = 9000 + 600 + others - 0.6 * 8000
         self.assertAlmostEqual(self.load.waiting_tokens(hosts=3), expected)
 
-    def test_what_was_sent_before_the_measure_is_in_the_report(self):
+    def test_requests_sent_before_the_measurement_are_not_counted_twice(self):
         self.load.record_sent(40, []).finish()
         self.now += RATE_WINDOW_S + 1
         self.report(9000, 0.5)
         self.assertAlmostEqual(self.load.waiting_tokens(hosts=3), 9000 - 0.5 * 8000)
 
-    def test_what_this_host_knows_to_wait_is_the_least_that_waits(self):
+    def test_estimate_is_at_least_what_this_host_itself_has_waiting(self):
         self.report(0, 0.5)
         sent = self.load.record_sent(700, [])
         self.assertEqual(self.load.waiting_tokens(hosts=6), 700)
         sent.finish()
         self.assertEqual(self.load.waiting_tokens(hosts=6), 0)
 
-    def test_a_report_from_before_a_version_was_learned_does_not_undo_it(self):
+    def test_earlier_report_does_not_override_a_recorded_version(self):
         self.report(0, 0.5)
         self.load.record_version("v2")
         self.now += 0.2
@@ -70,7 +70,7 @@
         self.now += 60.0
         self.assertEqual(self.load.waiting_tokens(hosts=1), 0)
 
-    def test_blocks_on_their_way_count_as_cached_for_a_while(self):
+    def test_pending_blocks_count_as_cached_until_a_timeout(self):
         keys = [BlockKey("a"), BlockKey("b")]
         self.load.record_sent(10, keys)
         self.assertEqual(self.load.count_cached(keys), 2)
@@ -78,7 +78,7 @@
         self.now += PENDING_TIMEOUT_S + 1
         self.assertEqual(self.load.count_cached(keys), 0)
 
-    def test_events_tell_what_is_cached(self):
+    def test_cache_events_add_and_remove_blocks(self):
         key = BlockKey("a")
         self.load.apply_event(True, key)
         self.assertEqual(self.load.count_confirmed([key]), 1)
--- a/libs/routing/ruddersaddle_routing/tests/test_queues.py
+++ b/libs/routing/ruddersaddle_routing/tests/test_queues.py
@@ -1,4 +1,4 @@
-"""Tests of fair queueing, limits, circuits and budgets."""
+"""Tests of fair queueing, adaptive limits, circuit breakers and retry budgets."""
 
 import time
 import unittest
@@ -51,7 +51,7 @@
         self.drain()
         self.assertEqual(self.order[1:7].count("heavy"), 4)
 
-    def test_a_wait_past_its_time_is_refused_and_holds_no_slot(self):
+    def test_timed_out_wait_is_refused_and_holds_no_slot(self):
         self.start("first")
         self.enter(QUIET, timeout_s=0.01)
         self.assertEqual(self.order, ["first", "quiet refused"])
@@ -59,7 +59,7 @@
         self.queue.release(WorkspaceId("first"), 0.1)
         self.assertEqual((self.queue.in_use, self.queue.waiting), (0, 0))
 
-    def test_a_closed_gate_holds_all_but_one(self):
+    def test_closed_upstreams_leave_one_slot(self):
         self.slots, self.open = 10, False
         self.start(QUIET, QUIET, QUIET)
         self.assertEqual((self.queue.in_use, self.queue.waiting), (1, 2))
@@ -112,7 +112,7 @@
             circuit.end(failed=False)
             self.assertIs(circuit.state, CircuitState.CLOSED)
 
-    def test_retries_are_a_share_of_first_tries(self):
+    def test_retries_are_a_share_of_first_attempts(self):
         budget = RetryBudget(0.1)
         taken = sum(budget.try_spend() for _ in range(100))
         self.assertEqual(taken, BUDGET_MAX)
