--- a/libs/serving/ruddersaddle_serving/cold_starts.py
+++ b/libs/serving/ruddersaddle_serving/cold_starts.py
@@ -1,7 +1,7 @@
-"""Which upstreams are cold, as they say themselves.
+"""Which upstreams are cold, as their entries report.
 
-For some seconds after a start an upstream bears few requests a second. Its entry tells for how much
-longer; hosts tell one another what they have read.
+For some seconds after its start an upstream can take only a low request rate. Its entry states how
+much longer that lasts; hosts send each other what they have read.
 """
 
 from collections.abc import Collection, Iterable
@@ -13,60 +13,64 @@
 
 
 class ColdStart(msgspec.Struct, frozen=True, array_like=True):
-    """Tells that a start of an upstream is cold."""
+    """Says that an instance of an upstream is cold."""
 
     instance: UpstreamStart
     heartbeat: Heartbeat
-    """The write that told it, with the seconds that are left now."""
+    """The write of the entry that reported it, with the seconds left now."""
 
 
-class _Told(msgspec.Struct, frozen=True):
-    """The newest write that was read; `until` is of the steady clock."""
+class _Reported(msgspec.Struct, frozen=True):
+    """The newest write that was read; `until` is on the steady clock."""
 
     sequence: int
     until: float
 
 
 class ColdStarts:
-    """Until when each start of an upstream is cold."""
+    """Until when each instance of an upstream is cold."""
 
     def __init__(self) -> None:
-        self._reported_by_instance: dict[UpstreamStart, _Told] = {}
+        self._reported_by_instance: dict[UpstreamStart, _Reported] = {}
 
-    def apply(self, start: UpstreamStart, heartbeat: Heartbeat) -> None:
-        """Take what a write of an entry says, counted from now: it was made some time before.
+    def apply(self, instance: UpstreamStart, heartbeat: Heartbeat) -> None:
+        """Apply a write of an entry, with its remaining time counted from now.
 
-        A write that is older than the known one can only lengthen the time: where the same id
-        begins anew without telling its birth, its numbers begin anew as well.
+        The write was made earlier, so this overestimates the time. A lower sequence number than the
+        known one can only extend it: if an upstream restarts under its id without reporting its
+        time of birth, its numbers restart as well.
         """
-        known = self._reported_by_instance.get(start)
-        told = _Told(heartbeat.sequence, clocks.now_s() + heartbeat.cold_s)
-        if known is None or told.sequence > known.sequence:
-            self._reported_by_instance[start] = told
-        elif told.sequence < known.sequence and heartbeat.cold_s > 0:
-            until = max(known.until, told.until)
-            self._reported_by_instance[start] = msgspec.structs.replace(known, until=until)
+        known = self._reported_by_instance.get(instance)
+        reported = _Reported(heartbeat.sequence, clocks.now_s() + heartbeat.cold_s)
+        if known is None or reported.sequence > known.sequence:
+            self._reported_by_instance[instance] = reported
+        elif reported.sequence < known.sequence and heartbeat.cold_s > 0:
+            until = max(known.until, reported.until)
+            self._reported_by_instance[instance] = msgspec.structs.replace(known, until=until)
 
     def apply_all(self, cold: Iterable[ColdStart]) -> None:
-        """Take what another host knows."""
+        """Apply what another host knows."""
         for each in cold:
             self.apply(each.instance, each.heartbeat)
 
-    def until(self, start: UpstreamStart) -> float:
-        """Return until when a start is cold, on the steady clock; long ago if it never was."""
-        known = self._reported_by_instance.get(start)
+    def until(self, instance: UpstreamStart) -> float:
+        """Return until when an instance is cold, on the steady clock.
+
+        The result is minus infinity if it was never reported as cold.
+        """
+        known = self._reported_by_instance.get(instance)
         return float("-inf") if known is None else known.until
 
     def current(self) -> tuple[ColdStart, ...]:
-        """Return the starts that are cold now."""
+        """Return the instances that are cold now."""
         now = clocks.now_s()
         return tuple(
-            ColdStart(start, Heartbeat(told.sequence, told.until - now))
-            for start, told in self._reported_by_instance.items()
-            if told.until > now
+            ColdStart(instance, Heartbeat(reported.sequence, reported.until - now))
+            for instance, reported in self._reported_by_instance.items()
+            if reported.until > now
         )
 
-    def keep_only(self, starts: Collection[UpstreamStart]) -> None:
-        """Forget starts that are gone."""
-        for gone in self._reported_by_instance.keys() - set(starts):
+    def keep_only(self, instances: Collection[UpstreamStart]) -> None:
+        """Forget all other instances."""
+        for gone in self._reported_by_instance.keys() - set(instances):
             del self._reported_by_instance[gone]
--- a/libs/serving/ruddersaddle_serving/evacuations.py
+++ b/libs/serving/ruddersaddle_serving/evacuations.py
@@ -1,4 +1,4 @@
-"""Which halls are evacuated: nothing more is to be sent to their upstreams."""
+"""Which halls are evacuated: their upstreams get no more requests."""
 
 import logging
 from collections.abc import Collection
@@ -10,29 +10,29 @@
 logger = logging.getLogger(__name__)
 
 RESTORE_GRACE_S = 10.0
-"""How long an evacuation that a store lacks after its return from a copy goes on: operators write
-theirs again."""
+"""How long an evacuation stays in force that a restored store lacks, so that operators can write it
+again."""
 
 
 class Evacuation(msgspec.Struct, frozen=True):
-    """An operator's word on one hall: evacuated, or taken back."""
+    """An operator's order to evacuate a hall, or to end its evacuation."""
 
     hall: HallId
     in_force: bool
 
 
 class Evacuations:
-    """The evacuated halls. Moments are of the steady clock."""
+    """The evacuated halls. Moments are on the steady clock."""
 
     def __init__(self) -> None:
         self._since_by_hall: dict[HallId, float] = {}
         self._held_until_by_hall: dict[HallId, float] = {}
-        """Halls that the store no longer names after its return from a copy."""
+        """Halls that the restored store no longer lists, with the end of their grace period."""
         self._ended_by_hall: dict[HallId, float] = {}
 
     def in_force(self) -> tuple[HallId, ...]:
-        """Return the evacuated halls."""
-        self._end_lapsed()
+        """Return the evacuated halls, without those whose grace period has ended."""
+        self._end_expired()
         return tuple(self._since_by_hall)
 
     def is_in_force(self, hall: HallId) -> bool:
@@ -44,18 +44,18 @@
         return self._ended_by_hall.get(hall, float("-inf"))
 
     def age_s(self, hall: HallId) -> float:
-        """Return for how long this host has known that a hall is evacuated."""
+        """Return how long this host has known that a hall is evacuated; 0 if it is not."""
         return clocks.now_s() - self._since_by_hall.get(hall, clocks.now_s())
 
     def apply(self, evacuation: Evacuation) -> None:
-        """Take a change."""
+        """Apply a single change."""
         if evacuation.in_force:
             self._begin(evacuation.hall)
         else:
             self._end(evacuation.hall)
 
     def replace(self, halls: Collection[HallId], is_restored: bool) -> None:
-        """Take all evacuations that are in force.
+        """Apply the complete list of evacuated halls.
 
         `is_restored` says that the store has just been restored from a copy that is some seconds
         old. An evacuation that such a copy lacks may have been written since, so it stays in force
@@ -69,13 +69,13 @@
                 self._end(hall)
         for hall in halls:
             self._begin(hall)
-        self._end_lapsed()
+        self._end_expired()
 
     def _begin(self, hall: HallId) -> None:
         self._held_until_by_hall.pop(hall, None)
         if hall not in self._since_by_hall:
             self._since_by_hall[hall] = clocks.now_s()
-            logger.info("Hall %s is evacuated; its upstreams get nothing more.", hall)
+            logger.info("Hall %s is evacuated; its upstreams get no more requests.", hall)
 
     def _end(self, hall: HallId) -> None:
         self._held_until_by_hall.pop(hall, None)
@@ -83,9 +83,9 @@
         if since is not None:
             now = clocks.now_s()
             self._ended_by_hall[hall] = now
-            logger.info("Evacuation of hall %s is taken back after %.1f s.", hall, now - since)
+            logger.info("Evacuation of hall %s ended after %.1f s.", hall, now - since)
 
-    def _end_lapsed(self) -> None:
+    def _end_expired(self) -> None:
         now = clocks.now_s()
         for hall, until in list(self._held_until_by_hall.items()):
             if now >= until:
--- a/libs/serving/ruddersaddle_serving/self_reports.py
+++ b/libs/serving/ruddersaddle_serving/self_reports.py
@@ -1,7 +1,7 @@
-"""What upstreams say of themselves in their answers, beside what was asked of them.
+"""What upstreams report about themselves in their answers: rate limit, backoff, leaving.
 
-It holds for one start of an upstream. Hosts tell one another of it, because a host that sends
-nothing to an upstream hears nothing of it either.
+A report holds for one instance of an upstream. Hosts forward reports to each other, because a host
+that sends nothing to an upstream receives no answers from it either.
 """
 
 from enum import Enum
@@ -13,53 +13,54 @@
 
 
 class SelfReport(msgspec.Struct, frozen=True):
-    """What one answer says of the upstream that gave it."""
+    """What one answer says about the upstream that sent it."""
 
     limit_per_s: float | None | Failure = None
-    """Requests a second that it takes from all hosts together; a failure where that can't be
-    read, None where it names no limit."""
+    """Requests per second that it accepts from all hosts together; None if the answer states no
+    limit, a failure if the limit can't be parsed."""
     leaving: bool = False
-    """Whether it takes no new work any more; it never takes that back within one start."""
+    """Whether it accepts no new work; an instance never takes that back."""
     backoff_s: float | Failure = 0.0
-    """For how long it wants nothing from the host that it turned away, in seconds."""
+    """How long it wants no more requests from the host that it refused."""
 
 
 EMPTY_REPORT = SelfReport()
-"""An answer that says nothing of its upstream."""
+"""The report of an answer that says nothing about its upstream."""
 LIMIT_MIN_PER_S = 0.25
-"""A lower limit counts as this many requests a second: without any, nobody would hear its end."""
+"""Lower limits count as this one: with no requests at all, no host would learn of the limit's
+end."""
 LIMIT_TRUST_S = 4.0
-"""A limit that no answer has named for this long is given up, like one that has ended."""
+"""A limit that no answer has confirmed for this long is given up, as if it had ended."""
 RAMP_DOUBLING_S = 0.5
-"""Once a limit has ended, what the upstream gets doubles in this time, so that hosts don't all come
-back at the same moment."""
+"""After a limit has ended, the allowed rate doubles in this time, so that hosts don't all return at
+once."""
 RAMP_DOUBLINGS_MAX = 8
-"""After so many, the limit is over."""
+"""Number of doublings after which the limit no longer applies."""
 LIMIT_BROADCAST_S = 10.0
-"""Hosts tell one another of a limit for this long after it was last heard of."""
+"""Hosts send each other a limit for this long after the answer that last stated it."""
 
 
 class LeaveNotice(msgspec.Struct, frozen=True, array_like=True):
-    """Tells that an upstream said in an answer that it leaves."""
+    """Says that an upstream announced in an answer that it is leaving."""
 
     request: RequestId | None
-    """Request whose answer told it; None for a call of the host itself."""
+    """Request that was answered so; None for a call of the host itself."""
 
 
 class LimitUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """The latest that is known of an upstream's limit, as hosts tell one another."""
+    """The latest known state of an upstream's rate limit, as sent between hosts."""
 
     per_s: float
     ended: bool
-    """Whether a later answer named none."""
+    """Whether a later answer stated no limit."""
     request: RequestId | None
-    """Request whose answer told it; None for a call of the host itself."""
+    """Request that was answered so; None for a call of the host itself."""
     age_s: float = 0.0
-    """Seconds since the answer came that told it."""
+    """Time since that answer arrived."""
 
 
 class LimitChange(Enum):
-    """What an answer changed about an upstream's limit."""
+    """How an answer changed an upstream's limit."""
 
     NONE = "none"
     STARTED = "begun"
@@ -67,7 +68,7 @@
 
 
 class RateLimit:
-    """The limit of one start of an upstream; moments are of the steady clock, in seconds."""
+    """The rate limit of one instance of an upstream; moments are on the steady clock."""
 
     def __init__(self) -> None:
         self._latest: LimitUpdate | None = None
@@ -75,13 +76,14 @@
 
     @property
     def is_advertised(self) -> bool:
-        """Whether the upstream named a limit when it was last heard of."""
+        """Whether the latest known answer stated a limit."""
         return self._latest is not None and not self._latest.ended
 
     def bound_per_s(self) -> float | None:
-        """Return what the upstream takes a second of all hosts now; None where nothing bounds it.
+        """Return the rate allowed to all hosts together now; None if there is no bound.
 
-        One that nobody sends to can't say that its need is over, so that an old word counts less.
+        The bound of a limit that is not confirmed any more rises in steps: an upstream that gets no
+        requests can't say that its limit has ended.
         """
         if self._latest is None:
             return None
@@ -92,44 +94,45 @@
         return max(LIMIT_MIN_PER_S, self._latest.per_s) * 2**doublings
 
     def latest_update(self) -> LimitUpdate | None:
-        """Return what other hosts should know; None where nothing was heard lately."""
+        """Return the update to send to other hosts; None if there is no recent one."""
         age_s = clocks.now_s() - self._received_at
         if self._latest is None or age_s > LIMIT_BROADCAST_S:
             return None
         return msgspec.structs.replace(self._latest, age_s=age_s)
 
-    def apply(self, news: LimitUpdate, is_first_hand: bool = True) -> LimitChange:
-        """Take what an answer said; one that came before the latest known changes nothing.
+    def apply(self, update: LimitUpdate, is_first_hand: bool = True) -> LimitChange:
+        """Apply an update unless it is older than the latest known one.
 
-        `is_first_hand` says that it comes from the host that had the answer.
+        `is_first_hand` says that it comes from the host that received the answer.
         """
-        heard_at = clocks.now_s() - news.age_s
-        if heard_at < self._received_at or (self._latest is None and news.ended):
+        received_at = clocks.now_s() - update.age_s
+        if received_at < self._received_at or (self._latest is None and update.ended):
             return LimitChange.NONE
-        if not is_first_hand and self._is_known(news):
+        if not is_first_hand and self._is_known(update):
             return LimitChange.NONE
-        was_named = self.is_advertised
-        self._latest = news
-        self._received_at = heard_at
-        if self.is_advertised == was_named:
+        was_advertised = self.is_advertised
+        self._latest = update
+        self._received_at = received_at
+        if self.is_advertised == was_advertised:
             return LimitChange.NONE
         return LimitChange.STARTED if self.is_advertised else LimitChange.ENDED
 
-    def _is_known(self, news: LimitUpdate) -> bool:
-        """Return whether the answer that told this is known already.
+    def _is_known(self, update: LimitUpdate) -> bool:
+        """Return whether an update comes from the same answer as the latest known one.
 
-        Told to and fro between hosts, it would seem to be younger by its way each time.
+        `age_s` leaves out the time on the way, so an update that hosts forward back and forth would
+        seem younger each time.
         """
         known = self._latest
-        return known is not None and (news.request, news.ended) == (known.request, known.ended)
+        return known is not None and (update.request, update.ended) == (known.request, known.ended)
 
     def update_from(
         self, report: SelfReport, request: RequestId | None, is_ordinary: bool
     ) -> LimitUpdate | None:
-        """Return what the answer to a request tells as it comes; None where that is nothing.
+        """Return the update that an arriving answer amounts to; None if it says nothing new.
 
-        An answer that names no limit ends one only if it is an ordinary one: refusals and answers
-        that break the protocol may lack it.
+        Only an ordinary answer ends a limit by stating none: refusals and answers that break the
+        protocol may lack the field.
         """
         match report.limit_per_s:
             case float(per_s):
@@ -140,7 +143,7 @@
 
 
 class ReportedState:
-    """What one start of an upstream has said of itself, for as long as it holds."""
+    """What one instance of an upstream has reported about itself and still holds."""
 
     def __init__(self) -> None:
         self.rate_limit = RateLimit()
@@ -148,18 +151,18 @@
 
     @property
     def backoff_s(self) -> float:
-        """Seconds for which it wants nothing more from this host; 0 where it doesn't rest."""
+        """Time left of the backoff that it asked this host for; 0 if there is none."""
         return max(0.0, self._backoff_until - clocks.now_s())
 
     @property
     def is_bounding(self) -> bool:
-        """Whether anything that it said bounds what this host may send."""
+        """Whether a reported backoff or limit bounds what this host may send."""
         return self.backoff_s > 0 or self.rate_limit.bound_per_s() is not None
 
     def back_off(self, backoff_s: float) -> bool:
-        """Take that it asks for rest from now on; return whether it did not rest before.
+        """Start or extend a backoff; return whether the upstream was not backing off before.
 
-        An answer that asks for less shortens nothing: each answer binds by itself.
+        A shorter backoff in a later answer doesn't shorten it: each answer binds by itself.
         """
         begins = backoff_s > 0 and self.backoff_s <= 0
         self._backoff_until = max(self._backoff_until, clocks.now_s() + backoff_s)
--- a/libs/serving/ruddersaddle_serving/tests/test_evacuations.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_evacuations.py
@@ -1,4 +1,4 @@
-"""Tests of which halls are evacuated, as the store, peers and returns of the store tell it."""
+"""Tests of evacuated halls, as reported by the store, also after it was restored from a copy."""
 
 import unittest
 from unittest import mock
@@ -19,7 +19,7 @@
         super().setUp()
         self.evacuations = Evacuations()
 
-    def test_evacuation_holds_until_it_is_taken_back(self) -> None:
+    def test_evacuation_holds_until_it_is_ended(self) -> None:
         self.evacuations.apply(Evacuation(HALL, in_force=True))
         self.now += 5.0
         self.assertEqual(self.evacuations.in_force(), (HALL,))
@@ -28,12 +28,12 @@
         self.assertFalse(self.evacuations.is_in_force(HALL))
         self.assertEqual(self.evacuations.ended_at(HALL), self.now)
 
-    def test_whole_list_ends_what_it_does_not_name(self) -> None:
+    def test_complete_list_ends_evacuations_that_it_lacks(self) -> None:
         self.evacuations.replace([HALL, OTHER], is_restored=False)
         self.evacuations.replace([OTHER], is_restored=False)
         self.assertEqual(self.evacuations.in_force(), (OTHER,))
 
-    def test_evacuation_that_a_copy_lacks_holds_until_operators_could_write_it_again(self) -> None:
+    def test_evacuation_that_a_restored_store_lacks_holds_for_a_grace_period(self) -> None:
         self.evacuations.replace([HALL], is_restored=False)
         self.evacuations.replace([], is_restored=True)
         self.evacuations.replace([], is_restored=False)
@@ -42,14 +42,14 @@
         self.now += RESTORE_GRACE_S
         self.assertFalse(self.evacuations.is_in_force(HALL))
 
-    def test_evacuation_that_is_written_again_after_a_return_holds_on(self) -> None:
+    def test_evacuation_that_is_written_again_after_a_restore_stays_in_force(self) -> None:
         self.evacuations.replace([HALL], is_restored=False)
         self.evacuations.replace([], is_restored=True)
         self.evacuations.apply(Evacuation(HALL, in_force=True))
         self.now += 3 * RESTORE_GRACE_S
         self.assertTrue(self.evacuations.is_in_force(HALL))
 
-    def test_end_that_is_written_again_after_a_return_counts_at_once(self) -> None:
+    def test_end_that_is_written_after_a_restore_takes_effect_at_once(self) -> None:
         self.evacuations.replace([HALL], is_restored=False)
         self.evacuations.replace([], is_restored=True)
         self.evacuations.apply(Evacuation(HALL, in_force=False))
@@ -75,7 +75,7 @@
     def in_force(self) -> tuple[HallId, ...]:
         return self.publications.evacuations.in_force()
 
-    def test_page_that_lags_changes_nothing(self) -> None:
+    def test_outdated_page_changes_nothing(self) -> None:
         self.take(StorePosition(1, 5), h=True)
         self.take(StorePosition(1, 4), h=False)
         self.take(StorePosition(1, 4), whole=True)
@@ -83,12 +83,12 @@
         self.take(StorePosition(1, 6), h=False)
         self.assertEqual(self.in_force(), ())
 
-    def test_whole_page_after_a_compaction_ends_what_was_taken_back_meanwhile(self) -> None:
+    def test_complete_page_after_a_compaction_ends_missing_evacuations(self) -> None:
         self.take(StorePosition(1, 5), h=True)
         self.take(StorePosition(1, 9), whole=True)
         self.assertEqual(self.in_force(), ())
 
-    def test_whole_page_of_a_later_era_ends_nothing_at_once(self) -> None:
+    def test_complete_page_of_a_later_era_ends_nothing_at_once(self) -> None:
         self.take(StorePosition(1, 5), h=True)
         self.take(StorePosition(2, 3), whole=True, g=True)
         self.assertEqual(set(self.in_force()), {HALL, OTHER})
--- a/libs/serving/ruddersaddle_serving/tests/test_self_reports.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_self_reports.py
@@ -1,4 +1,4 @@
-"""Tests of what upstreams say of themselves in their answers."""
+"""Tests of what upstreams report about themselves in their answers."""
 
 from ruddersaddle_base.failures import Code, Failure, Step
 from ruddersaddle_base.ids import RequestId
@@ -21,47 +21,47 @@
         super().setUp()
         self.limit = RateLimit()
 
-    def hear(self, report: SelfReport, is_ordinary: bool = True) -> LimitChange:
-        news = self.limit.update_from(report, REQUEST, is_ordinary)
-        return LimitChange.NONE if news is None else self.limit.apply(news)
+    def receive(self, report: SelfReport, is_ordinary: bool = True) -> LimitChange:
+        update = self.limit.update_from(report, REQUEST, is_ordinary)
+        return LimitChange.NONE if update is None else self.limit.apply(update)
 
     def test_limit_begins_and_ends_with_what_ordinary_answers_say(self) -> None:
-        self.assertIs(self.hear(EMPTY_REPORT), LimitChange.NONE)
-        self.assertIs(self.hear(SelfReport(2.1)), LimitChange.STARTED)
-        self.assertIs(self.hear(SelfReport(0.0)), LimitChange.NONE)
-        self.assertIs(self.hear(EMPTY_REPORT, is_ordinary=False), LimitChange.NONE)
-        self.assertIs(self.hear(EMPTY_REPORT), LimitChange.ENDED)
+        self.assertIs(self.receive(EMPTY_REPORT), LimitChange.NONE)
+        self.assertIs(self.receive(SelfReport(2.1)), LimitChange.STARTED)
+        self.assertIs(self.receive(SelfReport(0.0)), LimitChange.NONE)
+        self.assertIs(self.receive(EMPTY_REPORT, is_ordinary=False), LimitChange.NONE)
+        self.assertIs(self.receive(EMPTY_REPORT), LimitChange.ENDED)
         self.assertFalse(self.limit.is_advertised)
 
     def test_unreadable_limit_changes_nothing(self) -> None:
         unreadable = SelfReport(Failure(Code.CORRUPT, Step.READ, "upstream", "limit 'x'"))
-        self.hear(SelfReport(2.1))
-        self.assertIs(self.hear(unreadable), LimitChange.NONE)
+        self.receive(SelfReport(2.1))
+        self.assertIs(self.receive(unreadable), LimitChange.NONE)
         self.assertTrue(self.limit.is_advertised)
 
-    def test_older_word_of_another_host_changes_nothing(self) -> None:
-        self.hear(SelfReport(2.1))
+    def test_older_update_of_another_host_changes_nothing(self) -> None:
+        self.receive(SelfReport(2.1))
         self.now += 1.0
-        self.hear(EMPTY_REPORT)
+        self.receive(EMPTY_REPORT)
         self.assertIs(self.limit.apply(LimitUpdate(2.1, False, REQUEST, 0.5)), LimitChange.NONE)
         self.assertIs(self.limit.apply(LimitUpdate(2.1, False, REQUEST)), LimitChange.STARTED)
 
-    def test_word_that_hosts_tell_one_another_to_and_fro_grows_old(self) -> None:
-        self.hear(SelfReport(2.1))
+    def test_update_that_hosts_send_back_and_forth_still_ages(self) -> None:
+        self.receive(SelfReport(2.1))
         other = RateLimit()
         for _ in range(80):
             for source, target in ((self.limit, other), (other, self.limit)):
-                news = source.latest_update()
+                update = source.latest_update()
                 self.now += 0.05
-                target.apply(news, is_first_hand=False)
+                target.apply(update, is_first_hand=False)
         self.assertAlmostEqual(self.limit.latest_update().age_s, 8.0)
 
-    def test_end_of_a_limit_that_was_never_heard_of_is_no_news(self) -> None:
+    def test_end_of_an_unknown_limit_changes_nothing(self) -> None:
         self.assertIs(self.limit.apply(LimitUpdate(2.1, True, REQUEST)), LimitChange.NONE)
 
 
-class RestTest(FixedClockTest):
-    def test_later_answer_lengthens_a_rest_and_never_shortens_it(self) -> None:
+class BackoffTest(FixedClockTest):
+    def test_later_answer_extends_a_backoff_and_never_shortens_it(self) -> None:
         reported = ReportedState()
         self.assertTrue(reported.back_off(3.0))
         self.now += 1.0
--- a/libs/serving/ruddersaddle_serving/upstream_quotas.py
+++ b/libs/serving/ruddersaddle_serving/upstream_quotas.py
@@ -1,13 +1,12 @@
-"""How many requests a second this host may send to an upstream that bears few.
-
-It is cold, or it names a limit in its answers.
-
-Load pattern: a third of the engines crashes and comes back, empty and cold. What is empty looks
-best to every host; hundreds of hosts send to it at once, it falls over, and starts cold anew. What
-such an upstream bears is therefore shared out to a few hosts, by rendezvous hashing over the list
-of hosts: hosts agree on it without a message, also those that are cut off from one another, and a
-host that is gone leaves its share unused. Where lists differ for a while, more hosts than that send
-to it; the shares add up to what the upstream bears for good, and it falls over well above.
+"""How many requests per second this host may send to a cold or rate-limited upstream.
+
+The load pattern to survive: a third of the engines crashes and restarts empty and cold. An empty
+engine looks best to every host, so hundreds of hosts would send to it at once, and it would crash
+and start cold again. The rate that such an upstream can take is therefore split into quotas of a
+few hosts, chosen by rendezvous hashing over the host list. Hosts agree on them without messages,
+even if they can't reach each other; the quota of a failed host stays unused. While host lists
+differ, more hosts than these send to the upstream. Quotas add up to a rate that it can sustain,
+and it crashes only well above that.
 """
 
 import math
@@ -24,14 +23,14 @@
 from ruddersaddle_serving.upstream_lists import UpstreamList
 
 WINDOW_S = 1.05
-"""Requests are counted over this long: a second, and what they may differ by on their way."""
+"""Window for counting requests: a second, plus the variation of their latency."""
 JOIN_GRACE_S = 3.0
-"""A host has no shares for this long after it first knew the list of hosts. By then the others know
-of it, too; before, its list may lack those that started beside it."""
+"""A host has no quota for this long after it first received the host list: the list may lack hosts
+that started at the same time, and the others don't know this host yet."""
 
 
 class Quota(msgspec.Struct, frozen=True):
-    """What one host may send to one upstream: so many requests in so many seconds."""
+    """Number of requests that a host may send to an upstream within a window."""
 
     requests: int
     window_s: float
@@ -41,14 +40,14 @@
 
 
 def compute_quota(per_s: float, ranked_hosts: list[str], host: str) -> Quota:
-    """Return a host's share of what an upstream bears.
+    """Return a host's quota of an upstream's rate.
 
-    `ranked_hosts` are all hosts in the order that belongs to the upstream. As many of them as it
-    bears requests a second have a share.
+    `ranked_hosts` are all hosts in the upstream's own rendezvous order. As many of them have a
+    quota as the upstream accepts requests per second.
     """
     if per_s < 1.0:
-        alone = bool(ranked_hosts) and ranked_hosts[0] == host
-        return Quota(1, WINDOW_S / per_s) if alone and per_s > 0 else NO_QUOTA
+        is_first = bool(ranked_hosts) and ranked_hosts[0] == host
+        return Quota(1, WINDOW_S / per_s) if is_first and per_s > 0 else NO_QUOTA
     holders = ranked_hosts[: math.floor(per_s)]
     if host not in holders:
         return NO_QUOTA
@@ -56,35 +55,35 @@
 
 
 class UpstreamQuotas:
-    """Which upstreams bear few requests, and what this host may send to them."""
+    """The quotas of this host at upstreams that are cold or state a rate limit."""
 
     def __init__(self, hosts: Hosts, publications: Publications, upstreams: UpstreamList) -> None:
         self.hosts = hosts
         self.publications = publications
         self.upstreams = upstreams
         self.cold_sent = 0
-        """Requests that this host sent to cold upstreams."""
+        """Number of requests that this host sent to cold upstreams."""
         self.limited_sent = 0
-        """Requests that this host sent to upstreams that named a limit."""
+        """Number of requests that this host sent to upstreams that state a limit."""
         self._ranked_by_instance: dict[UpstreamStart, list[str]] = {}
         self._ranked_digest = 0
-        """Digest of the list of hosts that the ranks are of."""
+        """Digest of the host list that the cached ranks were computed from."""
 
     def cold_until(self, tracker: Tracker) -> float:
         """Return until when an upstream is cold, on the steady clock.
 
-        Beside what it says itself it is taken as cold after a silence, in which it may have started
-        anew, and after its hall was evacuated: its own word takes up to two seconds.
+        Its own report takes up to two seconds to arrive. So it is also assumed to be cold after it
+        was unresponsive, as it may have restarted, and after an evacuation of its hall has ended.
         """
         pool = self._pool(tracker)
         if pool is None or not pool.cold_per_s:
             return float("-inf")
-        again_at = max(
+        resumed_at = max(
             tracker.silence.ended_at,
             self.publications.evacuations.ended_at(tracker.entry.hall),
         )
-        told_until = self.upstreams.cold.until(tracker.entry.start)
-        return max(told_until, again_at + pool.cold_start_s)
+        reported_until = self.upstreams.cold.until(tracker.entry.start)
+        return max(reported_until, resumed_at + pool.cold_start_s)
 
     def is_cold(self, tracker: Tracker) -> bool:
         """Return whether an upstream is cold now."""
@@ -95,11 +94,11 @@
         per_s = self.bound_per_s(tracker)
         if per_s is None:
             return True
-        quota = self._quota(tracker, per_s)
+        quota = self._own_quota(tracker, per_s)
         return tracker.sends.count_since(clocks.now_s() - quota.window_s) < quota.requests
 
     def bound_per_s(self, tracker: Tracker) -> float | None:
-        """Return what an upstream bears a second of all hosts now; None where nothing bounds it."""
+        """Return the rate that all hosts together may send now; None if there is no bound."""
         limit_per_s = tracker.reported.rate_limit.bound_per_s()
         if not self.is_cold(tracker):
             return limit_per_s
@@ -107,33 +106,33 @@
         return cold_per_s if limit_per_s is None else min(cold_per_s, limit_per_s)
 
     def record_sent(self, tracker: Tracker) -> None:
-        """Count a request that leaves for an upstream, bounded or not: it may be at once."""
+        """Count a request to an upstream, bounded or not, as a bound may start at any moment."""
         tracker.sends.note(clocks.now_s())
         self.cold_sent += self.is_cold(tracker)
         self.limited_sent += tracker.reported.rate_limit.is_advertised
 
     def count_cold(self) -> int:
-        """Return how many upstreams say that they are cold."""
+        """Return how many upstreams report that they are cold."""
         return len(self.upstreams.cold.current())
 
     def _pool(self, tracker: Tracker) -> Pool | None:
         table = self.publications.table
         return None if table is None else table.pool_by_id.get(tracker.entry.pool)
 
-    def _quota(self, tracker: Tracker, per_s: float) -> Quota:
+    def _own_quota(self, tracker: Tracker, per_s: float) -> Quota:
         if clocks.now_s() < self.hosts.known_at + JOIN_GRACE_S:
             return NO_QUOTA
         return compute_quota(per_s, self._rank(tracker.entry.start), self.hosts.own_id)
 
-    def _rank(self, start: UpstreamStart) -> list[str]:
+    def _rank(self, instance: UpstreamStart) -> list[str]:
         if self._ranked_digest != self.hosts.digest:
             self._ranked_digest = self.hosts.digest
             self._ranked_by_instance.clear()
-        if start not in self._ranked_by_instance:
+        if instance not in self._ranked_by_instance:
             known = set(self.upstreams.starts())
             self._ranked_by_instance = {
                 each: ranked for each, ranked in self._ranked_by_instance.items() if each in known
             }
             names = [self.hosts.own_id, *self.hosts.by_id]
-            self._ranked_by_instance[start] = rank_names(str(start), names)
-        return self._ranked_by_instance[start]
+            self._ranked_by_instance[instance] = rank_names(str(instance), names)
+        return self._ranked_by_instance[instance]
