--- a/libs/serving/ruddersaddle_serving/cached_parts.py
+++ b/libs/serving/ruddersaddle_serving/cached_parts.py
@@ -25,25 +25,25 @@
 logger = logging.getLogger(__name__)
 
 SAVE_DEDUP_S = 5.0
-"""A part that was sent to be saved is not sent again this long."""
+"""A part is not saved again for this long after a save of it was requested."""
 SAVE_DEDUP_MAX = 10_000
-"""Parts that were sent to be saved are looked through for old ones beyond this many."""
+"""Expired entries are removed from the record of recent saves beyond this many."""
 RETRY_S = 0.4
 LONG_POLL_S = 0.5
-"""How long a store may hold the question for changes; it allows twice as much, but what it holds
-has to be known again within 2 s, by way of another host (`context_stores.LISTING_TRUST_S`)."""
+"""Longest wait of a poll for changes. Stores allow twice as much, but the listing has to be
+confirmed within `context_stores.LISTING_TRUST_S`, also at hosts that get it from another host."""
 CHANGES_PAUSE_S = 0.2
-"""Pause after an answer that told changes, so that some of them share the next one: answers in less
-than 200 ms are priced as probes."""
+"""Pause after an answer with changes, so that further changes share the next answer. Answers within
+200 ms are charged as probes."""
 RESERVED_WATCHERS = 4
-"""Waiting questions of the most that a store holds which are left for hosts that start or whose
-reader is being replaced."""
+"""Polls that a store can hold but that are reserved for hosts that start or whose reader is being
+replaced."""
 FOLLOW_CHECK_S = 1.0
-"""Pause of a host that is told of stores until it looks again whether it should ask."""
+"""Pause between checks whether this host should poll a store that it doesn't poll yet."""
 
 
 class CachedParts:
-    """All context stores, by id, with a task that follows each."""
+    """The context stores by id, with a task that follows each."""
 
     def __init__(self, engines: Engines) -> None:
         self.engines = engines
@@ -51,12 +51,12 @@
         self._saving_until: dict[tuple[str, PartId], float] = {}
         self.counts = {"fetches": 0, "saves": 0, "listings": 0, "freed": 0}
         self.polls_directly: Callable[[ContextStore], bool] = lambda spec: True
-        """Whether this host asks a store itself, or is told by another host."""
+        """Whether this host polls a store itself or gets its changes from another host."""
         self.broadcast_lost: Callable[[StoreId], None] = lambda store: None
-        """Tells the hosts that rely on this one's questions that a store refuses them."""
+        """Tells the hosts that rely on this host's polls that a store refuses connections."""
 
     def apply_table(self, table: RouteTable) -> None:
-        """Take the stores of a configuration."""
+        """Apply the stores of a configuration."""
         wanted = {spec.id: spec for spec in table.published.stores}
         engines = [pool.engine for pool in table.published.pools if pool.engine is not None]
         token_bytes = max((each.token_bytes for each in engines), default=0) or DEFAULT_TOKEN_BYTES
@@ -70,7 +70,7 @@
         self.start_followers()
 
     def start(self) -> None:
-        """Start the task that begins to follow stores when this host becomes a reader."""
+        """Start the task that follows stores once this host becomes a reader."""
         spawn_forever("stores", self._supervise)
 
     def _supervise(self) -> None:
@@ -79,77 +79,77 @@
             eventlet.sleep(FOLLOW_CHECK_S)
 
     def start_followers(self) -> None:
-        """Begin to follow the stores that this host asks itself and doesn't follow yet."""
-        for kept in self.by_id.values():
-            if not kept.is_followed and self.polls_directly(kept.spec):
-                kept.is_followed = True
-                spawn_forever(f"store {kept.spec.id}", self._follow, kept)
-
-    def _follow(self, kept: StoreView) -> None:
-        """Follow a store as long as it is configured and this host is one that asks it."""
-        while self.by_id.get(kept.spec.id) is kept and self.polls_directly(kept.spec):
-            eventlet.sleep(self.follow_once(kept))
-        kept.is_followed = False
-
-    def follow_once(self, kept: StoreView) -> float:
-        """Ask a store for what has changed; return the pause until the next question."""
+        """Start to follow the stores that this host should poll and doesn't follow yet."""
+        for store in self.by_id.values():
+            if not store.is_followed and self.polls_directly(store.spec):
+                store.is_followed = True
+                spawn_forever(f"store {store.spec.id}", self._follow, store)
+
+    def _follow(self, store: StoreView) -> None:
+        """Follow a store while it is configured and this host should poll it."""
+        while self.by_id.get(store.spec.id) is store and self.polls_directly(store.spec):
+            eventlet.sleep(self.follow_once(store))
+        store.is_followed = False
+
+    def follow_once(self, store: StoreView) -> float:
+        """Poll a store for changes; return the pause until the next poll."""
         asked_at = clocks.now_s()
-        revision = kept.revision
-        failure = self._read(kept)
+        revision = store.revision
+        failure = self._read(store)
         if failure is not None and failure.step is Step.SEND:
-            # The kept connection broke; a store that lives takes a new one.
+            # A reused connection broke; a running store accepts a new one.
             asked_at = clocks.now_s()
-            failure = self._read(kept)
-        kept.record_answer(failure)
+            failure = self._read(store)
+        store.record_answer(failure)
         if failure is not None:
-            self._handle_failure(kept, failure)
+            self._handle_failure(store, failure)
             return RETRY_S
-        kept.confirmed_at = asked_at
-        return CHANGES_PAUSE_S if kept.revision != revision else 0.0
+        store.confirmed_at = asked_at
+        return CHANGES_PAUSE_S if store.revision != revision else 0.0
 
-    def _handle_failure(self, kept: StoreView, failure: Failure) -> None:
-        """Stop fetching from a store that takes no connection, here and where this host tells."""
+    def _handle_failure(self, store: StoreView, failure: Failure) -> None:
+        """Stop fetching from a store that accepts no connection, here and at dependent hosts."""
         if failure.step is not Step.CONNECT:
             return
-        kept.record_lost()
-        self.broadcast_lost(kept.spec.id)
-
-    def _read(self, kept: StoreView) -> Failure | None:
-        if kept.epoch is None:
-            return self._list(kept)
-        # The first answer brings the engines' clock, without which nothing is fetched.
-        wait_s = LONG_POLL_S if kept.knows_clock else 0.0
-        page = self.engines.store_changes(kept.spec, kept.next_event, wait_s)
+        store.record_lost()
+        self.broadcast_lost(store.spec.id)
+
+    def _read(self, store: StoreView) -> Failure | None:
+        if store.epoch is None:
+            return self._list(store)
+        # The first answer brings the engines' clock, which is needed to fetch: don't wait for it.
+        wait_s = LONG_POLL_S if store.knows_clock else 0.0
+        page = self.engines.store_changes(store.spec, store.next_event, wait_s)
         if isinstance(page, Failure):
             return page
-        if page.epoch != kept.epoch or page.gap:
-            return self._list(kept)
+        if page.epoch != store.epoch or page.gap:
+            return self._list(store)
         for change in page.changes:
-            kept.apply(change)
-        kept.next_event = page.next
-        kept.record_clock(page.clock_ms)
+            store.apply(change)
+        store.next_event = page.next
+        store.record_clock(page.clock_ms)
         return None
 
-    def _list(self, kept: StoreView) -> Failure | None:
+    def _list(self, store: StoreView) -> Failure | None:
         self.counts["listings"] += 1
-        listing = self.engines.store_listing(kept.spec)
+        listing = self.engines.store_listing(store.spec)
         if isinstance(listing, Failure):
-            kept.forget()
+            store.forget()
             return listing
-        kept.reset(listing.epoch, listing.next, bool(listing.whole))
+        store.reset(listing.epoch, listing.next, bool(listing.whole))
         for part in listing.whole:
-            kept.apply(part)
-        kept.record_broken(listing.broken)
+            store.apply(part)
+        store.record_broken(listing.broken)
         return None
 
     def find_holders(self, salt: str, prompt: Prompt) -> list[StoreView | None]:
-        """Return for each shared part a store that has it whole, or None.
+        """Return for each shared part a store that holds it complete, or None.
 
-        What is fetched doesn't depend on what operators published: while the metadata store was
-        away for 3 s, a fifth of all that was read again on a day was read then (a count of the
-        parts of all prompts by what their lines said).
+        The age of the published configuration doesn't matter here. Otherwise an outage of the
+        metadata store would have all prompts recomputed meanwhile: 3 s without it caused a fifth of
+        a day's recomputation.
         """
-        trusted = [kept for kept in self.by_id.values() if kept.is_trusted]
+        trusted = [store for store in self.by_id.values() if store.is_trusted]
         return [_find_holder(trusted, salt, part) for part in prompt.shared_parts]
 
     def plan(
@@ -161,61 +161,64 @@
         covered_tokens: int = 0,
         may_save: bool = True,
     ) -> Transfer:
-        """Return where an engine in a hall gets the shared parts from, and where it saves them.
+        """Return where an engine in `hall` fetches the shared parts from and where it saves them.
 
-        It is believed to keep the first `covered_tokens` of the prompt itself.
+        The engine is assumed to cache the first `covered_tokens` of the prompt itself. A part is
+        fetched only if all parts before it are cached or fetched.
         """
         fetch: list[str | None] = []
         save: list[str | None] = []
         until_ms: list[int] = []
-        chain_is_kept = True
+        is_contiguous = True
         passed_tokens = 0
         for part, holder in zip(prompt.shared_parts, holders, strict=True):
             passed_tokens += part.tokens
             is_covered = passed_tokens <= covered_tokens
-            chain_is_kept = chain_is_kept and (holder is not None or is_covered)
+            is_contiguous = is_contiguous and (holder is not None or is_covered)
             if holder is None:
                 fetch.append(None)
-                save.append(self._place(salt, part, hall) if may_save else None)
+                save.append(self._choose_store(salt, part, hall) if may_save else None)
                 continue
-            fetch.append(holder.spec.address if chain_is_kept else None)
+            fetch.append(holder.spec.address if is_contiguous else None)
             save.append(None)
             until_ms.append(holder.fetch_until_ms)
         self.counts["fetches"] += any(fetch)
         self.counts["saves"] += any(save)
-        # The last part is the request's own; it is neither fetched nor saved.
+        # The last part belongs to this request alone; it is neither fetched nor saved.
         return Transfer(salt, (*fetch, None), (*save, None), min(until_ms, default=0))
 
-    def _place(self, salt: str, part: Part, hall: HallId) -> str | None:
-        """Return the store that an engine in a hall saves a part to, or None."""
+    def _choose_store(self, salt: str, part: Part, hall: HallId) -> str | None:
+        """Return the address of the store that an engine in `hall` saves a part to, or None."""
         now = clocks.now_s()
         key = (salt, part.id)
         if self._saving_until.get(key, 0.0) > now:
             return None
-        open_stores = [kept for kept in self.by_id.values() if kept.accepts_saves]
-        fitting = [kept for kept in open_stores if kept.has_room(part.tokens)]
+        writable = [store for store in self.by_id.values() if store.accepts_saves]
+        fitting = [store for store in writable if store.has_room(part.tokens)]
         if not fitting:
             return None
-        slowest = max(open_stores, key=lambda kept: kept.spec.first_s)
-        # A slow store costs a wait for each move. It hardly counts for a part whose transfer takes
-        # longer than that, and the room of fast stores is left to parts for which it does.
+        slowest = max(writable, key=lambda store: store.spec.first_s)
+        # A slow store adds a delay to each transfer. It hardly matters for a part whose transfer
+        # takes longer, so that the capacity of fast stores is left to parts for which it matters.
         is_large = slowest.link_s(part.tokens) > slowest.spec.first_s
         tier = -1.0 if is_large else 1.0
-        chosen = self._spread(fitting, part, tier, hall)
+        chosen = self._choose_among_best(fitting, part, tier, hall)
         self._record_saving(key, now)
         return chosen.spec.address
 
-    def _spread(self, fitting: list[StoreView], part: Part, tier: float, hall: HallId) -> StoreView:
+    def _choose_among_best(
+        self, fitting: list[StoreView], part: Part, tier: float, hall: HallId
+    ) -> StoreView:
         """Return the store for a part among those of the best tier.
 
-        Stores that are alike share the parts by rendezvous hash, so that each of their links and
-        memories carries its share and all hosts choose the same store for a part.
+        Equally good stores divide the parts by rendezvous hashing, which spreads links and memory
+        evenly and has all hosts choose the same store for a part.
         """
-        best = min(tier * kept.spec.first_s for kept in fitting)
-        alike = [kept for kept in fitting if tier * kept.spec.first_s == best]
-        quickest_s = min(kept.transfer_s(part.tokens, hall) for kept in alike)
-        alike = [kept for kept in alike if kept.transfer_s(part.tokens, hall) <= quickest_s]
-        by_id = {kept.spec.id: kept for kept in alike}
+        best = min(tier * store.spec.first_s for store in fitting)
+        equal = [store for store in fitting if tier * store.spec.first_s == best]
+        quickest_s = min(store.transfer_s(part.tokens, hall) for store in equal)
+        equal = [store for store in equal if store.transfer_s(part.tokens, hall) <= quickest_s]
+        by_id = {store.spec.id: store for store in equal}
         return by_id[rank_names(part.id, by_id)[0]]
 
     def _record_saving(self, key: tuple[str, PartId], now: float) -> None:
@@ -226,13 +229,13 @@
 
 
 def make_salt(model: ModelId, version: int, workspace: WorkspaceId | None) -> str:
-    """Return the name under which engines keep parts: one for each weights and each wall."""
+    """Return the cache salt of a weight version, and of a workspace if it shares no parts."""
     salt = f"{model}/{version}"
     return salt if workspace is None else f"{salt}/{workspace}"
 
 
 def _find_holder(stores: list[StoreView], salt: str, part: Part) -> StoreView | None:
-    for kept in stores:
-        if kept.tokens_by_part.get((salt, part.id), 0) >= part.tokens:
-            return kept
+    for store in stores:
+        if store.tokens_by_part.get((salt, part.id), 0) >= part.tokens:
+            return store
     return None
--- a/libs/serving/ruddersaddle_serving/part_relays.py
+++ b/libs/serving/ruddersaddle_serving/part_relays.py
@@ -1,4 +1,4 @@
-"""The task by which a host is told of context stores by the reader of its hall."""
+"""The task by which a host gets changes at context stores from the reader of its hall."""
 
 import logging
 
@@ -19,18 +19,18 @@
 logger = logging.getLogger(__name__)
 
 ASK_PAUSE_S = 0.5
-"""Pause between questions. A listing is trusted for 2 s; with the reader's own question (0.5 s) its
-confirmation is about a second old when the next answer comes."""
+"""Pause between requests. A listing is trusted for 2 s; with the reader's own poll (0.5 s), its
+confirmation is about a second old when the next answer arrives."""
 START_PAUSE_S = 0.2
-"""The same until each store has been told of once; a reader that has started at the same time knows
-them within 0.1 s."""
+"""The same until each store has been listed once. A reader that started at the same time knows them
+within 0.1 s."""
 
 
 class PartRelay:
-    """Keeps the listings of stores young from the hall's reader."""
+    """Refreshes the listings of stores from the hall's reader."""
 
-    def __init__(self, kept: CachedParts, neighbours: Neighbours) -> None:
-        self.cached_parts = kept
+    def __init__(self, cached_parts: CachedParts, neighbours: Neighbours) -> None:
+        self.cached_parts = cached_parts
         self.neighbours = neighbours
         self._revision_by_source: dict[tuple[str, str], int] = {}
 
@@ -38,13 +38,13 @@
         """Start the task."""
         self.cached_parts.polls_directly = self.polls_directly
         self.cached_parts.broadcast_lost = self.neighbours.tell_store_lost
-        # Waiting for the next look instead, hosts that had all been lost fetched nothing for their
-        # first second, and read 140,000 of 300,000 tokens of a day again in it.
+        # Without this listener, hosts would fetch nothing until the next check, a second after a
+        # restart of all hosts. That second caused 140,000 of a day's 300,000 recomputed tokens.
         self.neighbours.list.listeners.append(self.cached_parts.start_followers)
         spawn_forever("parts", self._run)
 
     def polls_directly(self, spec: ContextStore) -> bool:
-        """Return whether this host asks a store itself: all do while they are few enough."""
+        """Return whether this host polls a store itself: all hosts do if they are few enough."""
         hosts = self.neighbours.hosts
         if not hosts.is_known:
             return False
@@ -55,20 +55,20 @@
     def _run(self) -> None:
         while True:
             eventlet.sleep(self._pause_s)
-            told = [spec for spec in self._specs() if not self.polls_directly(spec)]
-            if told:
-                self._ask(told)
+            relayed = [spec for spec in self._specs() if not self.polls_directly(spec)]
+            if relayed:
+                self._ask(relayed)
             else:
-                # This host asks the stores itself now; a reader's numbers don't fit any more.
+                # This host polls the stores itself now, so a reader's revisions no longer apply.
                 self._revision_by_source.clear()
 
     @property
     def _pause_s(self) -> float:
-        is_listed = all(kept.epoch is not None for kept in self.cached_parts.by_id.values())
+        is_listed = all(store.epoch is not None for store in self.cached_parts.by_id.values())
         return ASK_PAUSE_S if is_listed else START_PAUSE_S
 
     def _specs(self) -> list[ContextStore]:
-        return [kept.spec for kept in self.cached_parts.by_id.values()]
+        return [store.spec for store in self.cached_parts.by_id.values()]
 
     def _ask(self, specs: list[ContextStore]) -> None:
         reader = self.neighbours.hosts.hall_reader()
@@ -79,14 +79,14 @@
         asked_at = clocks.now_s()
         answer = self.neighbours.peers.ask(reader, PartsRequest(positions), ASK_S)
         if not isinstance(answer, PartsUpdate):
-            logger.info("Reader %s tells nothing of context stores.", reader)
+            logger.info("Reader %s sent no changes at context stores.", reader)
             self.neighbours.hosts.note_silent(reader)
             return
         self._revision_by_source = {
             key: revision for key, revision in self._revision_by_source.items() if key[0] == reader
         }
-        for news in answer.stores:
-            store = self.cached_parts.by_id.get(news.store)
+        for update in answer.stores:
+            store = self.cached_parts.by_id.get(update.store)
             if store is not None:
-                apply_store_update(store, news, asked_at)
-                self._revision_by_source[reader, news.store] = news.revision
+                apply_store_update(store, update, asked_at)
+                self._revision_by_source[reader, update.store] = update.revision
--- a/libs/serving/ruddersaddle_serving/part_updates.py
+++ b/libs/serving/ruddersaddle_serving/part_updates.py
@@ -1,4 +1,4 @@
-"""What hosts tell one another of context stores, so that few of them ask each store."""
+"""Messages by which hosts exchange changes at context stores, so that few hosts poll each store."""
 
 import msgspec
 from ruddersaddle_base import clocks
@@ -9,25 +9,28 @@
 from ruddersaddle_serving.ports import StoreChange
 
 ROWS_MAX = 3000
-"""Parts in one answer, unless a single store has more: about 120 KB."""
+"""Most parts in one answer, about 120 KB, unless a single store has more."""
 
 
 class KnownRevision(msgspec.Struct, frozen=True, array_like=True):
-    """How far the asker knows a store, by the revision of the host that it asks."""
+    """The revision up to which the sender knows a store, as numbered by the host that it asks."""
 
     store: StoreId
     revision: int
 
 
 class PartsRequest(msgspec.Struct, frozen=True, tag="ask_parts"):
-    """Asks what has changed at context stores."""
+    """Requests the changes at context stores."""
 
     positions: tuple[KnownRevision, ...]
 
 
 class StoreUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """What changed at one store. `next` continues the store's own events, `clock_ms` is the
-    engines' clock when this was told, `age_s` the age of the listing's last confirmation."""
+    """Changes at one store.
+
+    `next` is the number of the store's next event, `clock_ms` the engines' clock when this was sent
+    and `age_s` the time since the listing was last confirmed.
+    """
 
     store: StoreId
     epoch: int
@@ -41,31 +44,31 @@
 
 
 class PartsUpdate(msgspec.Struct, frozen=True, tag="parts_news"):
-    """Answers with the stores that the peer itself knows well; some may be left for the next."""
+    """The answer, with stores whose listing the peer trusts; the next answer has those left out."""
 
     stores: tuple[StoreUpdate, ...]
 
 
 class StoreLost(msgspec.Struct, frozen=True, tag="store_lost"):
-    """Tells that a context store takes no connection; it is not answered."""
+    """Says that a context store accepts no connection; it is not answered."""
 
     store: StoreId
 
 
-def make_parts_update(kept: CachedParts, question: PartsRequest) -> PartsUpdate:
-    """Return what the asker does not know yet."""
-    told: list[StoreUpdate] = []
+def make_parts_update(cached_parts: CachedParts, request: PartsRequest) -> PartsUpdate:
+    """Return the changes that the requesting host doesn't know yet."""
+    updates: list[StoreUpdate] = []
     rows = 0
-    for position in question.positions:
-        store = kept.by_id.get(position.store)
+    for position in request.positions:
+        store = cached_parts.by_id.get(position.store)
         if store is None or not store.is_trusted:
             continue
-        news = _make_store_update(store, position.revision)
-        if told and rows + len(news.changes) > ROWS_MAX:
+        update = _make_store_update(store, position.revision)
+        if updates and rows + len(update.changes) > ROWS_MAX:
             continue
-        rows += len(news.changes)
-        told.append(news)
-    return PartsUpdate(tuple(told))
+        rows += len(update.changes)
+        updates.append(update)
+    return PartsUpdate(tuple(updates))
 
 
 def _make_store_update(store: StoreView, revision: int) -> StoreUpdate:
@@ -83,13 +86,16 @@
     )
 
 
-def apply_store_update(store: StoreView, news: StoreUpdate, asked_at: float) -> None:
-    """Take what a peer told, dated from when the question left."""
-    if news.is_complete or news.epoch != store.epoch:
-        store.reset(news.epoch, news.next, bool(news.changes))
-    for change in news.changes:
+def apply_store_update(store: StoreView, update: StoreUpdate, asked_at: float) -> None:
+    """Apply a peer's update.
+
+    Its age is counted from when the request was sent, so the listing never seems too recent.
+    """
+    if update.is_complete or update.epoch != store.epoch:
+        store.reset(update.epoch, update.next, bool(update.changes))
+    for change in update.changes:
         store.apply(change)
-    store.next_event = news.next
-    store.used_tokens = news.used_tokens
-    store.record_clock(int(news.clock_ms))
-    store.confirmed_at = max(store.confirmed_at, asked_at - news.age_s)
+    store.next_event = update.next
+    store.used_tokens = update.used_tokens
+    store.record_clock(int(update.clock_ms))
+    store.confirmed_at = max(store.confirmed_at, asked_at - update.age_s)
--- a/libs/serving/ruddersaddle_serving/prompts.py
+++ b/libs/serving/ruddersaddle_serving/prompts.py
@@ -1,4 +1,4 @@
-"""Requests of callers, in the terms that decisions are made in."""
+"""Callers' requests and prompts, in the form that routing decisions use."""
 
 import random
 from functools import cached_property
@@ -17,14 +17,14 @@
 
 
 class Part(msgspec.Struct, frozen=True, array_like=True):
-    """One part of a prompt, named by its content; `tokens` is its length."""
+    """One part of a prompt; its id is derived from its content."""
 
     id: PartId
     tokens: int
 
 
 class Prompt(msgspec.Struct, frozen=True):
-    """What a request asks an engine: its parts in order, and the most tokens it generates."""
+    """A prompt for an engine: its parts in order, and the most tokens to generate."""
 
     model: ModelId
     parts: tuple[Part, ...]
@@ -33,23 +33,23 @@
 
     @property
     def tokens(self) -> int:
-        """Memory that a run needs at most: what it reads and what it generates."""
+        """Most tokens that a run holds in memory: its prompt and its output."""
         return self.tokens_in + self.tokens_out
 
     @property
     def shared_parts(self) -> tuple[Part, ...]:
-        """The parts that other requests have too; the last one is the request's own."""
+        """The parts that other requests may share; the last part belongs to this request alone."""
         return self.parts[:-1]
 
     @property
     def affinity_key(self) -> str:
-        """What requests that share most of their prompt have in common."""
+        """Key that requests share if they share all parts but the last."""
         shared = self.shared_parts or self.parts
         return shared[-1].id if shared else ""
 
 
 class CallerHead(msgspec.Struct, frozen=True):
-    """What a request's headers say. `budget_s` is how long the caller waits, in seconds."""
+    """What a request's headers state; `budget_s` is how long the caller waits."""
 
     id: RequestId
     key: str | None
@@ -57,11 +57,11 @@
     prompt: Prompt | None
     last_event_id: str | None
     forwarded_headers: Headers
-    """Headers that go to the upstream as they came."""
+    """Headers that are forwarded to the upstream unchanged."""
 
 
 class CallerRequest:
-    """One request on its way through this host."""
+    """One request that this host handles."""
 
     def __init__(
         self,
@@ -85,28 +85,28 @@
 
     @property
     def id(self) -> RequestId:
-        """The id that the caller gave."""
+        """The id that the caller set."""
         return self.head.id
 
     @cached_property
     def fingerprint(self) -> Fingerprint:
-        """What this request has in common with its copies, whichever host they come to."""
+        """Fingerprint by which all hosts recognize copies of this request."""
         workspace = "" if self.workspace is None else self.workspace.id
         return make_fingerprint(self.method, self.target, workspace, self.body)
 
     @cached_property
     def is_judged_as_common(self) -> bool:
-        """Whether admission judges it as if it were of common size; drawn once for each try."""
+        """Whether admission treats it as being of common size; drawn once per caller's attempt."""
         return random.random() < JUDGED_AS_COMMON_SHARE
 
     @property
     def remaining_s(self) -> float:
-        """Seconds that are left of the caller's time and the route's."""
+        """Time left until the caller's or the route's deadline."""
         return self.started_at + self.budget_s - clocks.now_s()
 
     @property
     def priority(self) -> int:
-        """0 is the most urgent; a workspace's own goes before the route's."""
+        """Priority, 0 being the most urgent; the workspace's overrides the route's."""
         if self.workspace is not None and self.workspace.priority is not None:
             return self.workspace.priority
         return self.route.priority
--- a/libs/serving/ruddersaddle_serving/replaced_parts.py
+++ b/libs/serving/ruddersaddle_serving/replaced_parts.py
@@ -1,8 +1,8 @@
-"""Frees what replaced weights made in context stores, once no engine can fetch it any more.
+"""Frees the cached parts of replaced weights once no engine can fetch them any more.
 
-A request names the weights that it expects, and an engine with others refuses it. So nothing that
-replaced weights made is fetched any more once every engine has newer ones, whatever single hosts
-still believe, and fetches that had begun by then end within `FETCH_TIMEOUT_S`.
+A request states the weights that it expects, and an engine with others refuses it. So once every
+engine has newer weights, no part of the replaced ones is fetched any more, even if some hosts still
+have an outdated view, and fetches that are under way end within `FETCH_TIMEOUT_S`.
 """
 
 import logging
@@ -22,7 +22,7 @@
 logger = logging.getLogger(__name__)
 
 CHECK_PAUSE_S = 0.5
-"""Pause between looks; freeing is not urgent."""
+"""Pause between checks; freeing is not urgent."""
 FREE_AFTER_S = LISTING_TRUST_S + FETCH_TIMEOUT_S + 0.6
 """How long all engines must have had newer weights before older parts are freed.
 
@@ -30,11 +30,11 @@
 expired while some host still knows it, and 0.6 s covers requests in flight.
 """
 FREE_BATCH = 400
-"""Parts that one call frees."""
+"""Number of parts that one call frees."""
 
 
 class ReplacedParts:
-    """The task that frees parts; the first host in line does it."""
+    """The task that frees parts; only the host that ranks first for a model does it."""
 
     def __init__(
         self,
@@ -42,16 +42,16 @@
         upstreams: UpstreamList,
         trackers: Trackers,
         neighbours: Neighbours,
-        kept: CachedParts,
+        cached_parts: CachedParts,
     ) -> None:
         self.publications = publications
         self.upstreams = upstreams
         self.trackers = trackers
         self.neighbours = neighbours
-        self.cached_parts = kept
+        self.cached_parts = cached_parts
         self.stopping = False
         self._oldest_by_model: dict[ModelId, tuple[int, float]] = {}
-        """Oldest weights that an engine has, and since when no engine has older ones."""
+        """Oldest weights that an engine has, and since when they have been the oldest."""
 
     def start(self) -> None:
         """Start the task."""
@@ -60,22 +60,22 @@
     def _run(self) -> None:
         while True:
             for model in list(self.publications.version_by_model):
-                self.look(model)
+                self.free_unused(model)
             eventlet.sleep(CHECK_PAUSE_S)
 
-    def look(self, model: ModelId) -> None:
-        """Free what no engine can fetch any more, if this host is the one to do it."""
-        version = self._unused_before(model)
+    def free_unused(self, model: ModelId) -> None:
+        """Free parts that no engine can fetch any more, if this host ranks first for the model."""
+        version = self._oldest_fetchable(model)
         if version <= 0 or self.stopping:
             return
         if place_in_line(f"free/{model}", self.neighbours) > 0:
             return
-        for kept in self.cached_parts.by_id.values():
-            if kept.is_trusted:
-                self._free_at(kept, model, version)
+        for store in self.cached_parts.by_id.values():
+            if store.is_trusted:
+                self._free_at(store, model, version)
 
-    def _unused_before(self, model: ModelId) -> int:
-        """Return the oldest weights whose parts may still be fetched, or 0 if that is unknown."""
+    def _oldest_fetchable(self, model: ModelId) -> int:
+        """Return the oldest weights whose parts may still be fetched, or 0 if unknown."""
         oldest = self._oldest_in_use(model)
         now = clocks.now_s()
         known, since = self._oldest_by_model.get(model, (0, now))
@@ -94,15 +94,17 @@
         ]
         return min(versions, default=0)
 
-    def _free_at(self, kept: StoreView, model: ModelId, version: int) -> None:
-        parts = kept.parts_before(model, version)[:FREE_BATCH]
+    def _free_at(self, store: StoreView, model: ModelId, version: int) -> None:
+        parts = store.parts_before(model, version)[:FREE_BATCH]
         if not parts:
             return
-        failure = self.cached_parts.engines.free(kept.spec, kept.epoch, parts)
+        failure = self.cached_parts.engines.free(store.spec, store.epoch, parts)
         if failure is not None:
-            logger.info("Parts at %s were not freed. %s", kept.spec.id, failure.detail)
+            logger.info("Freeing parts at %s failed. %s", store.spec.id, failure.detail)
             return
         self.cached_parts.counts["freed"] += len(parts)
-        logger.info("Freed %d parts of weights before %d at %s.", len(parts), version, kept.spec.id)
+        logger.info(
+            "Freed %d parts of weights older than %d at %s.", len(parts), version, store.spec.id
+        )
         for part in parts:
-            kept.apply(part)
+            store.apply(part)
--- a/libs/serving/ruddersaddle_serving/routes.py
+++ b/libs/serving/ruddersaddle_serving/routes.py
@@ -1,4 +1,4 @@
-"""The published configuration: routes, pools, context stores, workspaces and callers' limits."""
+"""The published configuration: routes, pools, context stores, workspaces and caller limits."""
 
 from enum import Enum
 from typing import NewType
@@ -11,25 +11,25 @@
 
 
 class RouteKind(Enum):
-    """What may be done with a request of a route."""
+    """How often a request may run, or how it is answered."""
 
     REPEATABLE = "repeatable"
     """May run more than once."""
     ONCE = "once"
-    """May run once at most."""
+    """May run at most once."""
     STREAM = "stream"
-    """Answered by a series of events."""
+    """Answered by a stream of events."""
 
 
 class Target(msgspec.Struct, frozen=True):
-    """A pool that a route sends to, with its share of the route's requests."""
+    """A pool that a route sends to, with its weight among the route's targets."""
 
     pool: PoolId
     weight: float = 1.0
 
 
 class Route(msgspec.Struct, frozen=True):
-    """Where requests go, and within what bounds. Times are in seconds."""
+    """Which requests it matches, where they go, and their limits."""
 
     name: RouteName
     host: str
@@ -47,35 +47,35 @@
 
     @property
     def is_repeatable(self) -> bool:
-        """Whether a request may be run again after it may have run once."""
+        """Whether a request may be run again if it may have run already."""
         return self.kind is RouteKind.REPEATABLE or self.resumable
 
 
 class EngineSpec(msgspec.Struct, frozen=True):
-    """What the engines of a pool can do. Sizes are in tokens."""
+    """Capabilities of the engines of a pool; sizes are in tokens."""
 
     slots: int
     cache_tokens: int
     models: tuple[ModelId, ...]
     watchers_max: int = 8
-    """Most calls that wait for cache events at once."""
+    """Most concurrent calls that wait for cache events."""
     token_bytes: int = 0
-    """Memory of one token; 0 where the configuration doesn't say."""
+    """Memory of one token; 0 if the configuration doesn't state it."""
 
 
 class Pool(msgspec.Struct, frozen=True):
-    """Upstreams that serve the same work; `engine` is None for plain services."""
+    """Interchangeable upstreams; `engine` is None for plain services."""
 
     id: PoolId
     engine: EngineSpec | None = None
     cold_start_s: float = 0.0
-    """How long an upstream is cold after a start."""
+    """How long an upstream is cold after its start."""
     cold_per_s: float = 0.0
-    """Requests a second that a cold upstream bears; 0 where its start makes no difference."""
+    """Requests per second that a cold upstream can take; 0 if a cold start makes no difference."""
 
 
 class ContextStore(msgspec.Struct, frozen=True):
-    """A store of kept prompt parts. `link_mbps` is its link, `first_s` the wait of each move."""
+    """A store of cached prompt parts; `first_s` is the fixed delay of each transfer."""
 
     id: StoreId
     address: str
@@ -87,7 +87,7 @@
 
 
 class Workspace(msgspec.Struct, frozen=True):
-    """Who sends requests. `dedicated` workspaces share no kept context with others."""
+    """A customer; `dedicated` workspaces share no cached parts with others."""
 
     id: WorkspaceId
     priority: int | None = None
@@ -95,7 +95,7 @@
 
 
 class CallerLimits(msgspec.Struct, frozen=True):
-    """Bounds on what callers send: sizes in bytes, times in seconds."""
+    """Limits on callers' requests and connections; sizes are in bytes."""
 
     header_bytes: int = 16384
     body_bytes: int = 4194304
@@ -104,7 +104,7 @@
 
 
 class PublishedConfiguration(msgspec.Struct, frozen=True):
-    """One version of the configuration, whole."""
+    """One complete version of the configuration."""
 
     version: int
     routes: tuple[Route, ...] = ()
@@ -117,7 +117,7 @@
 
 
 class RouteTable:
-    """The routes of one configuration, found by host and path."""
+    """Finds the routes of one configuration by host and path."""
 
     def __init__(self, published: PublishedConfiguration) -> None:
         self.published = published
@@ -127,7 +127,7 @@
             self._routes_by_host.setdefault(route.host.lower(), []).append(route)
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix of `path`, or None."""
+        """Return the route of `host` with the longest matching prefix of `path`, or None."""
         name = host.rpartition(":")[0] if is_whole(host.rpartition(":")[2]) else host
         for route in self._routes_by_host.get(name.lower(), ()):
             if path.startswith(route.path_prefix):
--- a/libs/serving/ruddersaddle_serving/tests/test_part_relays.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_part_relays.py
@@ -1,4 +1,4 @@
-"""Tests of when a host first asks context stores."""
+"""Tests of when a host first lists context stores."""
 
 import unittest
 from unittest import mock
@@ -28,7 +28,7 @@
         engines = mock.Mock()
         engines.store_listing.return_value = StoreListing(1, 0, (), ())
         engines.store_changes.return_value = LOST
-        kept = CachedParts(engines)
+        cached_parts = CachedParts(engines)
         hosts = Hosts(HostId("a"), HostRecord("10.0.0.2:1", HALL), [])
         neighbours = Neighbours(
             hosts,
@@ -36,12 +36,12 @@
             Publications(),
             UpstreamList(),
             Trackers(),
-            kept,
+            cached_parts,
             CrashRecords(),
         )
-        PartRelay(kept, neighbours).start()
-        kept.start()
-        kept.apply_table(RouteTable(PublishedConfiguration(1, stores=(SPEC,))))
+        PartRelay(cached_parts, neighbours).start()
+        cached_parts.start()
+        cached_parts.apply_table(RouteTable(PublishedConfiguration(1, stores=(SPEC,))))
         eventlet.sleep(0.01)
         engines.store_listing.assert_not_called()
         neighbours.list.take({HostId("b"): HostRecord("10.0.0.3:1", HALL)})
--- a/libs/serving/ruddersaddle_serving/tests/test_replaced_parts.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_replaced_parts.py
@@ -1,4 +1,4 @@
-"""Tests of freeing what replaced weights made."""
+"""Tests of freeing the cached parts of replaced weights."""
 
 import unittest
 from unittest import mock
@@ -33,15 +33,15 @@
         self.trackers = Trackers()
         self.engines = mock.Mock()
         self.engines.free.return_value = None
-        self.kept = CachedParts(self.engines)
-        self.store = self.kept.by_id[SPEC.id] = StoreView(SPEC)
+        self.cached_parts = CachedParts(self.engines)
+        self.store = self.cached_parts.by_id[SPEC.id] = StoreView(SPEC)
         self.store.reset(1, 0)
         self.store.record_clock(5_000)
         for part in (OLD_PART, NEW_PART):
             self.store.apply(part)
         neighbours = mock.Mock(live_hosts=["a"], address="a")
         self.replaced = ReplacedParts(
-            self.publications, self.upstreams, self.trackers, neighbours, self.kept
+            self.publications, self.upstreams, self.trackers, neighbours, self.cached_parts
         )
         self.first, self.second = (self.add(name) for name in ("e-1", "e-2"))
         self.publications.take(ModelVersion(MODEL, 2))
@@ -52,57 +52,57 @@
         self.upstreams.put(entry)
         return self.trackers.at(entry)
 
-    def look_for(self, seconds: float) -> None:
-        """Look each half second for some seconds; the store and the list are young all along."""
+    def run_for(self, seconds: float) -> None:
+        """Check each half second; the store's listing and the upstream list stay confirmed."""
         for _ in range(int(seconds * 2)):
             self.now += 0.5
             self.store.confirmed_at = self.now
             self.upstreams.confirm(self.now)
-            self.replaced.look(MODEL)
+            self.replaced.free_unused(MODEL)
 
-    def test_parts_are_kept_as_long_as_an_engine_has_their_weights(self) -> None:
+    def test_parts_stay_while_an_engine_has_their_weights(self) -> None:
         self.first.take_version(MODEL, 2)
-        self.look_for(60.0)
+        self.run_for(60.0)
         self.engines.free.assert_not_called()
 
     def test_parts_are_freed_once_every_fetch_of_them_has_ended(self) -> None:
         for tracker in (self.first, self.second):
             tracker.take_version(MODEL, 2)
-        self.look_for(FREE_AFTER_S)
+        self.run_for(FREE_AFTER_S)
         self.engines.free.assert_not_called()
-        self.look_for(1.0)
+        self.run_for(1.0)
         gone = (StoreChange("m/1", SHARED.id, 0),)
         self.engines.free.assert_called_once_with(SPEC, 1, gone)
         self.assertEqual(self.store.tokens_by_part, {("m/2", SHARED.id): SHARED.tokens})
 
     def test_nothing_is_freed_while_entries_may_be_missing(self) -> None:
-        """An engine with the old weights may live whose entry lapsed in an outage."""
+        """An engine with the old weights may still run though its entry expired in an outage."""
         self.upstreams.remove(self.second.id)
         self.first.take_version(MODEL, 2)
-        self.look_for(1.0)
+        self.run_for(1.0)
         for _ in range(40):
             self.upstreams.note_outage()
-            self.look_for(0.5)
+            self.run_for(0.5)
         self.engines.free.assert_not_called()
 
-    def test_engine_that_comes_back_with_old_weights_begins_the_wait_anew(self) -> None:
+    def test_engine_that_returns_with_old_weights_restarts_the_wait(self) -> None:
         self.first.take_version(MODEL, 2)
         self.upstreams.remove(self.second.id)
-        self.look_for(FREE_AFTER_S - 1.0)
+        self.run_for(FREE_AFTER_S - 1.0)
         self.upstreams.put(self.second.entry)
-        self.look_for(10.0)
+        self.run_for(10.0)
         self.engines.free.assert_not_called()
 
-    def test_wait_outlasts_what_hosts_believe_and_the_fetch_that_follows(self) -> None:
+    def test_wait_outlasts_trusted_listings_and_the_fetch_that_follows(self) -> None:
         self.assertGreater(FREE_AFTER_S, LISTING_TRUST_S + FETCH_TIMEOUT_S)
 
     def test_parts_are_fetched_however_old_the_published_items_are(self) -> None:
-        """The metadata store was away for 8 s; every prompt of that time was read whole."""
+        """Otherwise every prompt is recomputed in full while the metadata store is unreachable."""
         prompt = Prompt(MODEL, (SHARED, Part(PartId("own"), 10)), 510, 3)
         self.now += 30.0
         self.store.confirmed_at = self.now
         self.assertGreater(self.publications.age_s, 30.0)
-        self.assertEqual(self.kept.find_holders("m/1", prompt), [self.store])
+        self.assertEqual(self.cached_parts.find_holders("m/1", prompt), [self.store])
 
 
 if __name__ == "__main__":
