--- a/libs/serving/ruddersaddle_serving/fence_leases.py
+++ b/libs/serving/ruddersaddle_serving/fence_leases.py
@@ -22,7 +22,7 @@
 from ruddersaddle_base.ids import Incarnation
 
 from ruddersaddle_serving.ports import (
-    START,
+    TOPIC_START,
     AppendOutcome,
     MetadataStore,
     StorePosition,
@@ -59,7 +59,7 @@
         self.fence = -1
         self._orders_until = float("-inf")
         self._watched_at = float("-inf")
-        self._end = START
+        self._end = TOPIC_START
         self._last: LeaseRecord | None = None
         self._last_seen_at = float("-inf")
         self._sent: set[str] = set()
--- a/libs/serving/ruddersaddle_serving/host_lists.py
+++ b/libs/serving/ruddersaddle_serving/host_lists.py
@@ -12,7 +12,14 @@
 from ruddersaddle_base.ids import HostId
 
 from ruddersaddle_serving.hosts import HostRecord, Hosts
-from ruddersaddle_serving.ports import START, MetadataStore, Page, Record, StorePosition, Topic
+from ruddersaddle_serving.ports import (
+    TOPIC_START,
+    MetadataStore,
+    Page,
+    Record,
+    StorePosition,
+    Topic,
+)
 from ruddersaddle_serving.tasks import spawn_forever
 
 logger = logging.getLogger(__name__)
@@ -106,7 +113,9 @@
                     return
             eventlet.sleep(HOSTS_LOOK_S * (1 + random.random()))
 
-    def take(self, records: dict[HostId, HostRecord], position: StorePosition = START) -> None:
+    def take(
+        self, records: dict[HostId, HostRecord], position: StorePosition = TOPIC_START
+    ) -> None:
         """Take a list as of a position, from the store or from another host."""
         if self.hosts.replace(records, position):
             logger.info("Hosts: %s.", ", ".join(sorted(self.hosts.by_id)))
--- a/libs/serving/ruddersaddle_serving/hosts.py
+++ b/libs/serving/ruddersaddle_serving/hosts.py
@@ -13,7 +13,7 @@
 from ruddersaddle_base.ids import HallId, HostId
 from ruddersaddle_routing.rendezvous import rank_names
 
-from ruddersaddle_serving.ports import START, StorePosition
+from ruddersaddle_serving.ports import TOPIC_START, StorePosition
 
 logger = logging.getLogger(__name__)
 
@@ -48,8 +48,8 @@
         self.by_id: dict[HostId, HostRecord] = {}
         self.known_at = float("inf")
         """When the list was first read, here or by a host that told it; on the steady clock."""
-        self.position = START
-        """Position that follows the newest record of the list; START where it is not known."""
+        self.position = TOPIC_START
+        """Position that follows the newest record of the list; TOPIC_START if it is not known."""
         self._seeds = [seed for seed in seeds if seed and seed != own.address]
         self._silent_until: dict[str, float] = {}
         self._failures_by_address: dict[str, int] = {}
@@ -65,7 +65,9 @@
         """Whether the list was read."""
         return self.known_at != float("inf")
 
-    def replace(self, records: dict[HostId, HostRecord], position: StorePosition = START) -> bool:
+    def replace(
+        self, records: dict[HostId, HostRecord], position: StorePosition = TOPIC_START
+    ) -> bool:
         """Take the whole list as of a position; return whether it differs from what was known.
 
         One that is older than the known one changes nothing: hosts that had read it as others were
--- a/libs/serving/ruddersaddle_serving/neighbour_messages.py
+++ b/libs/serving/ruddersaddle_serving/neighbour_messages.py
@@ -10,7 +10,7 @@
 from ruddersaddle_serving.hosts import HostRecord
 from ruddersaddle_serving.load_shares import LoadSums, Notices
 from ruddersaddle_serving.part_news import AskParts, PartsNews, StoreLost
-from ruddersaddle_serving.ports import START, ModelVersion, StorePosition
+from ruddersaddle_serving.ports import TOPIC_START, ModelVersion, StorePosition
 from ruddersaddle_serving.publications import NamingAge
 from ruddersaddle_serving.routes import Published
 from ruddersaddle_serving.store_eras import UNTOLD
@@ -31,7 +31,7 @@
     """Revision of the peer's own crash records that the asker has."""
     era: int = UNTOLD
     """Newest era of the store that the asker knows."""
-    hosts_position: StorePosition = START
+    hosts_position: StorePosition = TOPIC_START
     """Position of the list of hosts that the asker knows."""
 
 
@@ -66,7 +66,7 @@
     """Upstreams among `entries` that are gone from the store and kept for their grace."""
     evacuated: tuple[HallId, ...] | None = None
     """The evacuated halls as of `end`; None from a host that knows of none such."""
-    hosts_position: StorePosition = START
+    hosts_position: StorePosition = TOPIC_START
     """Position of the list that `hosts` is."""
     cold: tuple[ColdStart, ...] = ()
     """Starts of upstreams that are cold."""
--- a/libs/serving/ruddersaddle_serving/ports.py
+++ b/libs/serving/ruddersaddle_serving/ports.py
@@ -47,7 +47,7 @@
     offset: int
 
 
-START = StorePosition(0, 0)
+TOPIC_START = StorePosition(0, 0)
 """The beginning of a topic, and the era of a store that tells none."""
 
 
@@ -65,7 +65,7 @@
     version: int
 
 
-Operated = Published | ModelVersion | Evacuation
+OperatorPublication = Published | ModelVersion | Evacuation
 """What operators publish."""
 
 
@@ -76,7 +76,7 @@
     CONFLICT = "conflict"
 
 
-class Appended(msgspec.Struct, frozen=True):
+class AppendResult(msgspec.Struct, frozen=True):
     """The outcome of an append; `end` is the position that follows the topic's last record."""
 
     outcome: AppendOutcome
@@ -101,7 +101,7 @@
         plain one gives what it still has. A position of an earlier era is a `GAP` in both.
         """
 
-    def append(self, topic: Topic, value: bytes, at: StorePosition) -> Appended | Failure:
+    def append(self, topic: Topic, value: bytes, at: StorePosition) -> AppendResult | Failure:
         """Append one record if the topic ends at `at`.
 
         A failure with code `GAP` says that the era of `at` is over; the record may be there.
@@ -113,7 +113,7 @@
     def put_all(self, topic: Topic, values: Mapping[str, bytes | None]) -> Failure | None:
         """Set or drop the values of some keys, all or none of them, in one call."""
 
-    def decode_operator(self, record: Record) -> Operated | None | Failure:
+    def decode_operator(self, record: Record) -> OperatorPublication | None | Failure:
         """Return what an operator published, or None for a record that has no meaning here."""
 
     def decode_upstream(self, record: Record) -> UpstreamEntry | Failure:
--- a/libs/serving/ruddersaddle_serving/publications.py
+++ b/libs/serving/ruddersaddle_serving/publications.py
@@ -8,7 +8,7 @@
 from ruddersaddle_base.ids import ModelId
 
 from ruddersaddle_serving.evacuations import Evacuations
-from ruddersaddle_serving.ports import START, ModelVersion, StorePosition
+from ruddersaddle_serving.ports import TOPIC_START, ModelVersion, StorePosition
 from ruddersaddle_serving.routes import Published, RouteTable
 
 logger = logging.getLogger(__name__)
@@ -56,7 +56,7 @@
         self.evacuations = Evacuations()
         self.listeners: list[Callable[[RouteTable], None]] = []
         """Called at once with each configuration that comes into force."""
-        self.end = START
+        self.end = TOPIC_START
         """Position that follows the newest record that was taken into account."""
         self.held_until = float("-inf")
         """Until then nothing counts as confirmed: a host that has just started asks others first,
@@ -152,7 +152,7 @@
 
     def is_of_later_era(self, end: StorePosition) -> bool:
         """Return whether the store has come back from a copy since this host last heard of it."""
-        return self.end != START and end.era > self.end.era
+        return self.end != TOPIC_START and end.era > self.end.era
 
     def confirm(self, asked_at: float, end: StorePosition) -> bool:
         """Note an answer to a question sent at `asked_at`; refuse one that lags behind."""
--- a/libs/serving/ruddersaddle_serving/tests/lease_models.py
+++ b/libs/serving/ruddersaddle_serving/tests/lease_models.py
@@ -20,7 +20,14 @@
 
 from ruddersaddle_serving import fence_leases
 from ruddersaddle_serving.fence_leases import FenceLease
-from ruddersaddle_serving.ports import Appended, AppendOutcome, Page, Record, StorePosition, Topic
+from ruddersaddle_serving.ports import (
+    AppendOutcome,
+    AppendResult,
+    Page,
+    Record,
+    StorePosition,
+    Topic,
+)
 from ruddersaddle_serving.store_eras import StoreEras
 
 LEASE_S = 3.0
@@ -108,7 +115,7 @@
         records = (Record("", value, since.offset + at) for at, value in enumerate(values))
         return Page(tuple(records), StorePosition(self.era, len(self.log)))
 
-    def append(self, topic: Topic, value: bytes, at: StorePosition) -> Appended | Failure:
+    def append(self, topic: Topic, value: bytes, at: StorePosition) -> AppendResult | Failure:
         self.appended = True
         if not self.fate.is_done:
             self.late = Late(value, at.offset)
@@ -122,7 +129,7 @@
         if at.era != self.era:
             return Failure(Code.GAP, Step.APPEND, "log")
         outcome = AppendOutcome.DONE if fits else AppendOutcome.CONFLICT
-        return Appended(outcome, StorePosition(self.era, len(self.log)))
+        return AppendResult(outcome, StorePosition(self.era, len(self.log)))
 
 
 def _away() -> Failure:
--- a/libs/serving/ruddersaddle_serving/tests/test_fence_leases.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_fence_leases.py
@@ -6,7 +6,14 @@
 from ruddersaddle_base.ids import Incarnation
 
 from ruddersaddle_serving.fence_leases import FENCES_OF_ERA, MARGIN_S, FenceLease
-from ruddersaddle_serving.ports import Appended, AppendOutcome, Page, Record, StorePosition, Topic
+from ruddersaddle_serving.ports import (
+    AppendOutcome,
+    AppendResult,
+    Page,
+    Record,
+    StorePosition,
+    Topic,
+)
 from ruddersaddle_serving.store_eras import StoreEras
 from ruddersaddle_serving.tests.fixed_clocks import FixedClockTest
 
@@ -49,7 +56,7 @@
         records = [Record("", value, since.offset + at) for at, value in enumerate(values)]
         return Page(tuple(records), self.log.end)
 
-    def append(self, topic: Topic, value: bytes, at: StorePosition) -> Appended | Failure:
+    def append(self, topic: Topic, value: bytes, at: StorePosition) -> AppendResult | Failure:
         if self.log.down:
             return self._failure()
         is_at_end = at.offset == len(self.log.values)
@@ -62,7 +69,7 @@
         if at.era != self.log.era:
             return self._failure(Code.GAP)
         outcome = AppendOutcome.DONE if is_at_end else AppendOutcome.CONFLICT
-        return Appended(outcome, self.log.end)
+        return AppendResult(outcome, self.log.end)
 
     def _failure(self, code: Code = Code.LOG_UNAVAILABLE) -> Failure:
         return Failure(code, Step.APPEND, "log")
--- a/libs/serving/ruddersaddle_serving/tests/test_suspensions.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_suspensions.py
@@ -20,7 +20,13 @@
 import ruddersaddle_serving
 from ruddersaddle_serving.fence_leases import FenceLease
 from ruddersaddle_serving.forwarders import Forwarder
-from ruddersaddle_serving.ports import Appended, AppendOutcome, ModelVersion, Page, StorePosition
+from ruddersaddle_serving.ports import (
+    AppendOutcome,
+    AppendResult,
+    ModelVersion,
+    Page,
+    StorePosition,
+)
 from ruddersaddle_serving.prompts import CallerHead, CallerRequest
 from ruddersaddle_serving.publications import Publications
 from ruddersaddle_serving.routes import Route, RouteKind, RouteName, Workspace
@@ -76,7 +82,7 @@
     def test_lease_has_run_out(self) -> None:
         store = mock.Mock(eras=StoreEras())
         store.changes.return_value = Page((), StorePosition(0, 0))
-        store.append.return_value = Appended(AppendOutcome.DONE, StorePosition(0, 1))
+        store.append.return_value = AppendResult(AppendOutcome.DONE, StorePosition(0, 1))
         lease = FenceLease(store, Incarnation(HostId("h")), 3.0)
         self.assertTrue(lease.take())
         self.suspend()
