--- a/libs/serving/ruddersaddle_serving/crash_watches.py
+++ b/libs/serving/ruddersaddle_serving/crash_watches.py
@@ -134,7 +134,7 @@
             if tracker.is_replaced or tracker.entry.start != start:
                 return True
             match self.engines.presence(tracker.entry.address, start):
-                case Presence.HERE:
+                case Presence.PRESENT:
                     return False
                 case Presence.REPLACED:
                     return True
--- a/libs/serving/ruddersaddle_serving/kept_parts.py
+++ b/libs/serving/ruddersaddle_serving/kept_parts.py
@@ -136,10 +136,10 @@
         if isinstance(listing, Failure):
             kept.forget()
             return listing
-        kept.reset(listing.epoch, listing.next, bool(listing.whole))
-        for part in listing.whole:
+        kept.reset(listing.epoch, listing.next, bool(listing.complete))
+        for part in listing.complete:
             kept.put(part)
-        kept.note_broken(listing.broken)
+        kept.note_broken(listing.incomplete)
         return None
 
     def find_holders(self, salt: str, prompt: Prompt) -> list[KeptStore | None]:
--- a/libs/serving/ruddersaddle_serving/ports.py
+++ b/libs/serving/ruddersaddle_serving/ports.py
@@ -152,7 +152,7 @@
     """The upstream itself says that it did not run the request."""
     upstream: UpstreamId | None
     version: int | None
-    keep_idle_s: float | None
+    keep_alive_s: float | None
     """How long the upstream keeps an idle connection open, if it says so."""
     encoded: bool
     headers: Headers
@@ -200,8 +200,8 @@
 class OrderOutcome(Enum):
     """What an engine said to an order."""
 
-    TAKEN = "taken"
-    HOLDS = "holds"
+    ACCEPTED = "taken"
+    ALREADY_LOADED = "holds"
     BUSY = "busy"
     FENCED = "fenced"
     REFUSED = "refused"
@@ -231,14 +231,14 @@
 
     epoch: int
     next: int
-    whole: tuple[StoreChange, ...]
-    broken: tuple[StoreChange, ...]
+    complete: tuple[StoreChange, ...]
+    incomplete: tuple[StoreChange, ...]
 
 
 class Presence(Enum):
     """What a question to the address of one start of an upstream showed."""
 
-    HERE = "here"
+    PRESENT = "here"
     """It answers."""
     REPLACED = "replaced"
     """Another start, or another upstream, answers."""
--- a/libs/serving/ruddersaddle_serving/probes.py
+++ b/libs/serving/ruddersaddle_serving/probes.py
@@ -102,7 +102,7 @@
         self.count += 1
         presence = self.engines.presence(tracker.entry.address, tracker.entry.start)
         match presence:
-            case Presence.HERE:
+            case Presence.PRESENT:
                 self._note_reached(tracker)
             case Presence.REPLACED:
                 self._tell(tracker, Progress.REPLACED)
--- a/libs/serving/ruddersaddle_serving/tests/load_replays.py
+++ b/libs/serving/ruddersaddle_serving/tests/load_replays.py
@@ -359,7 +359,7 @@
 
     def presence(self, upstream: UpstreamId) -> Presence:
         """Return what a probe of an engine brings."""
-        return Presence.UNKNOWN if self.engine_by_id[upstream].dark else Presence.HERE
+        return Presence.UNKNOWN if self.engine_by_id[upstream].dark else Presence.PRESENT
 
     def after(self, seconds: float, function: Callable[[], None]) -> None:
         """Call a function later."""
--- a/libs/serving/ruddersaddle_serving/tests/test_crash_watches.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_crash_watches.py
@@ -61,11 +61,11 @@
         self.assertEqual(self.seen(Presence.UNKNOWN, Presence.REPLACED), 1)
 
     def test_upstream_that_answers_has_lost_a_connection_only(self) -> None:
-        self.assertEqual(self.seen(Presence.HERE), 0)
+        self.assertEqual(self.seen(Presence.PRESENT), 0)
         self.assertEqual(self.watch.counts["reset"], 1)
 
     def test_upstream_with_all_its_connections_taken_resets_one_look(self) -> None:
-        self.assertEqual(self.seen(Presence.DOWN, Presence.HERE), 0)
+        self.assertEqual(self.seen(Presence.DOWN, Presence.PRESENT), 0)
 
     def test_silence_behind_a_cut_is_no_crash(self) -> None:
         self.assertEqual(self.seen(Presence.UNKNOWN), 0)
--- a/libs/serving/ruddersaddle_serving/tests/test_probes.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_probes.py
@@ -35,7 +35,7 @@
         entry = UpstreamEntry(ENGINE, PoolId("p"), "10.1.0.1:80", HallId("hall-0"), 8, False, {})
         tracker = trackers.at(entry)
         engines = mock.Mock()
-        engines.presence.return_value = Presence.HERE
+        engines.presence.return_value = Presence.PRESENT
         return Probes(hosts, trackers, engines, lambda notice: tracker.take_notice(own, notice))
 
     def fall_silent(self, probes: Probes) -> None:
@@ -70,7 +70,7 @@
         self.probes.engines.presence.return_value = Presence.DOWN
         self.assertIn(self.run_for(4.0), range(8, round(4.0 / PAUSE_S) + 1))
         self.assertFalse(self.tracker.is_sound)
-        self.probes.engines.presence.return_value = Presence.HERE
+        self.probes.engines.presence.return_value = Presence.PRESENT
         self.run_for(2 * PAUSE_S)
         self.assertTrue(self.tracker.is_sound)
         self.assertEqual(self.run_for(4.0), 0)
--- a/libs/serving/ruddersaddle_serving/tests/test_weight_rollouts.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_weight_rollouts.py
@@ -42,7 +42,7 @@
     def order(self, address: str, order: Order) -> OrderOutcome | Failure:
         self.orders.append(order)
         self.version_by_address[address] = order.version
-        return OrderOutcome.TAKEN
+        return OrderOutcome.ACCEPTED
 
 
 class WeightRolloutsTest(unittest.TestCase):
--- a/libs/serving/ruddersaddle_serving/upstream_connections.py
+++ b/libs/serving/ruddersaddle_serving/upstream_connections.py
@@ -156,7 +156,7 @@
             return
         if self._is_long:
             self.connection.give_up_after(UNACKNOWLEDGED_S)
-        self.pool.keep(self.connection, self.head.keep_idle_s)
+        self.pool.keep(self.connection, self.head.keep_alive_s)
 
     def _may_be_kept(self) -> bool:
         if self.raw is None or self.raw.version != 11 or self._break is not None:
--- a/libs/serving/ruddersaddle_serving/weight_rollouts.py
+++ b/libs/serving/ruddersaddle_serving/weight_rollouts.py
@@ -224,8 +224,8 @@
             self.counts["orders_fenced"] += 1
             self._fenced_until = clocks.now_s() + 2 * self.lease.lease_s
         return isinstance(outcome, Failure) or outcome in (
-            OrderOutcome.TAKEN,
-            OrderOutcome.HOLDS,
+            OrderOutcome.ACCEPTED,
+            OrderOutcome.ALREADY_LOADED,
             OrderOutcome.BUSY,
         )
 
