--- a/libs/serving/ruddersaddle_serving/entry_hosts.py
+++ b/libs/serving/ruddersaddle_serving/entry_hosts.py
@@ -44,7 +44,7 @@
 from ruddersaddle_serving.probes import Probes
 from ruddersaddle_serving.publications import Publications
 from ruddersaddle_serving.replaced_parts import ReplacedParts
-from ruddersaddle_serving.request_ends import cut_fields
+from ruddersaddle_serving.request_ends import interrupted_fields
 from ruddersaddle_serving.self_reports import SelfReport
 from ruddersaddle_serving.silent_peers import watch_callers
 from ruddersaddle_serving.standstills import Standstills
@@ -246,7 +246,7 @@
         try:
             self._serve()
         except Exception:
-            fields = cut_fields(self.front.under_way())
+            fields = interrupted_fields(self.front.active_requests())
             logger.critical(
                 "Host %s ends by a fault.", self.incarnation, exc_info=True, extra=fields
             )
@@ -361,7 +361,9 @@
         budget = {"spent": self.budget.spent, "denied": self.budget.denied}
         lines = format_gauges(gauges)
         lines += format_counters("answers", "answers by status", self.front.counts)
-        lines += format_counters("requests_ended", "requests by how they ended", self.front.ends)
+        lines += format_counters(
+            "requests_ended", "requests by how they ended", self.front.outcome_counts
+        )
         by_size = self.front.sizes.rows()
         lines += format_labelled("requests_by_size", "prompts by size and end", by_size)
         lines += format_counters("dropped_writes", "log lines, other texts", count_dropped())
@@ -409,7 +411,7 @@
         """
         self.signals.note(number)
         self.stopping = True
-        self.front.closing = True
+        self.front.draining = True
         self.rollouts.stopping = True
         self.replaced.stopping = True
 
@@ -430,7 +432,7 @@
         # stream, don't count as active.
         while (self.front.active or not callers.server.dead) and clocks.now_s() < latest:
             eventlet.sleep(STOP_STEP_S)
-        fields = cut_fields(self.front.under_way())
+        fields = interrupted_fields(self.front.active_requests())
         level = logging.WARNING if fields["cut"] else logging.INFO
         fields["signals"] = self.signals.count
         logger.log(level, "Host %s has stopped.", self.incarnation, extra=fields)
--- a/libs/serving/ruddersaddle_serving/fronts.py
+++ b/libs/serving/ruddersaddle_serving/fronts.py
@@ -18,7 +18,12 @@
 from ruddersaddle_serving.ports import AnswerHead, Wire
 from ruddersaddle_serving.prompts import CallerHead, CallerRequest
 from ruddersaddle_serving.publications import Publications
-from ruddersaddle_serving.request_ends import CutRequest, count_end, count_none, kind_of_end
+from ruddersaddle_serving.request_ends import (
+    InterruptedRequest,
+    count_outcome,
+    kind_of_outcome,
+    zero_counts,
+)
 from ruddersaddle_serving.request_sizes import SizeBand, SizeCounts
 from ruddersaddle_serving.routes import CallerLimits, Route, RouteTable, Workspace
 
@@ -67,12 +72,12 @@
         self.publications = publications
         self.forwarder = forwarder
         self.histograms = histograms
-        self.closing = False
+        self.draining = False
         """Whether answers tell callers to open no further request on their connection."""
         self.visits: set[_Visit] = set()
         """Requests under way."""
         self.counts: dict[str, int] = {}
-        self.ends = count_none()
+        self.outcome_counts = zero_counts()
         """Requests that have ended, by kind of end."""
         self.sizes = SizeCounts()
 
@@ -95,7 +100,7 @@
         """Count an event by name."""
         self.counts[name] = self.counts.get(name, 0) + 1
 
-    def under_way(self) -> list[CutRequest]:
+    def active_requests(self) -> list[InterruptedRequest]:
         """Return the requests that the end of this process would cut."""
         return [visit.describe() for visit in self.visits]
 
@@ -259,7 +264,7 @@
     def _start(self, status: int, headers: list[tuple[str, str]]) -> None:
         self.status = status
         # A body that was never asked for may still come; no next request could be told from it.
-        if self.front.closing or self.environ["eventlet.input"].should_send_hundred_continue:
+        if self.front.draining or self.environ["eventlet.input"].should_send_hundred_continue:
             self.environ["caller.protocol"].close_connection = 1
         self.start(f"{status} {responses.get(status, 'Unknown')}", headers)
 
@@ -309,12 +314,12 @@
         if self.forwarding is not None:
             self.forwarding.finish()
 
-    def describe(self) -> CutRequest:
+    def describe(self) -> InterruptedRequest:
         """Return what on-call needs to know of a request that is cut."""
         request = None if self.head is None else self.head.id
         route = None if self.request is None else self.request.route.name
         upstream = None if self.forwarding is None else self.forwarding.trail.upstream
-        return CutRequest(request, route, upstream, clocks.now_s() - self.began)
+        return InterruptedRequest(request, route, upstream, clocks.now_s() - self.began)
 
     def _note_fault(self) -> None:
         cut = self.describe()
@@ -328,7 +333,7 @@
     def _note(self, word: str) -> None:
         front = self.front
         front.count(f"answers_{self.status or 'none'}")
-        count_end(front.ends, word)
+        count_outcome(front.outcome_counts, word)
         if self.size_band is not None:
             front.sizes.count(self.request.route.name, self.size_band, self._size_end(word))
         total_s = clocks.now_s() - self.began
@@ -351,7 +356,7 @@
         """Return what the end means to the caller: served, or what it was refused or lost for."""
         if self.failure is not None:
             return self.failure.code.value
-        return "served" if word == ANSWERED and self.status < 300 else kind_of_end(word)
+        return "served" if word == ANSWERED and self.status < 300 else kind_of_outcome(word)
 
     def _note_request(self, fields: dict[str, Any]) -> None:
         request = self.request
--- a/libs/serving/ruddersaddle_serving/request_ends.py
+++ b/libs/serving/ruddersaddle_serving/request_ends.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-TOLD_MAX = 20
+LISTED_MAX = 20
 """Requests named in a line about those that are cut, which stays under about 2 KB."""
 KIND_BY_WORD = {
     "answered": "answered",
@@ -19,7 +19,7 @@
 """Kind of an end by the first words of its outcome; all but the first give no whole answer."""
 
 
-class CutRequest(msgspec.Struct, frozen=True):
+class InterruptedRequest(msgspec.Struct, frozen=True):
     """A request under way when its host ends."""
 
     request: str | None
@@ -31,26 +31,26 @@
         return f"{self.request} on {self.route} at {self.upstream or None} for {self.ran_s:.1f} s"
 
 
-def count_none() -> dict[str, int]:
+def zero_counts() -> dict[str, int]:
     """Return counts of all kinds, so that each is on the metrics page from the start."""
     return dict.fromkeys(KIND_BY_WORD.values(), 0)
 
 
-def kind_of_end(outcome: str) -> str:
+def kind_of_outcome(outcome: str) -> str:
     """Return the kind of an end, by the first words of its outcome."""
     return KIND_BY_WORD.get(outcome.partition(":")[0], "other")
 
 
-def count_end(counts: dict[str, int], outcome: str) -> None:
+def count_outcome(counts: dict[str, int], outcome: str) -> None:
     """Count the end of one request."""
-    kind = kind_of_end(outcome)
+    kind = kind_of_outcome(outcome)
     counts[kind] = counts.get(kind, 0) + 1
 
 
-def cut_fields(cut: Iterable[CutRequest]) -> dict[str, Any]:
+def interrupted_fields(cut: Iterable[InterruptedRequest]) -> dict[str, Any]:
     """Return a log line's fields about requests that are cut: their number, the oldest by name."""
     oldest = sorted(cut, key=lambda each: -each.ran_s)
     fields: dict[str, Any] = {"cut": len(oldest)}
     if oldest:
-        fields["requests"] = [str(each) for each in oldest[:TOLD_MAX]]
+        fields["requests"] = [str(each) for each in oldest[:LISTED_MAX]]
     return fields
