--- a/libs/serving/ruddersaddle_serving/caller_listeners.py
+++ b/libs/serving/ruddersaddle_serving/caller_listeners.py
@@ -32,7 +32,7 @@
 store and peers. 3,000 of about 4,000 that a host has."""
 
 
-def find_room() -> int:
+def connection_limit() -> int:
     """Return how many connections a listener may hold at once in this process."""
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft == resource.RLIM_INFINITY:
@@ -40,7 +40,7 @@
     return max(1, min(CONNECTIONS_MAX, int(soft * CALLERS_SHARE)))
 
 
-class LastingListener:
+class ResilientListener:
     """A listening socket for the library's server; `pool` runs the connections' tasks.
 
     A connection for which there is no room is closed unread: its caller may go elsewhere at once,
--- a/libs/serving/ruddersaddle_serving/caller_pools.py
+++ b/libs/serving/ruddersaddle_serving/caller_pools.py
@@ -9,7 +9,7 @@
 
 Connection = list[Any]
 """The runner's own record of a connection: the caller's address, the socket, the state."""
-STATE = 2
+STATE_INDEX = 2
 """Place of the state in that record."""
 
 
@@ -33,15 +33,15 @@
         if self._by_address.get(connection[0]) is connection:
             del self._by_address[connection[0]]
 
-    def keep_waiting(self) -> None:
+    def mark_unread_as_busy(self) -> None:
         """Let connections on which something lies unread count as busy.
 
         The runner closes idle ones at its end. After a pause of the process, requests that had come
         meanwhile were closed unread (107 of 250 connections, up to 598 ms after the last byte).
         """
         for connection in self._by_address.values():
-            if connection[STATE] == STATE_IDLE and _has_bytes(connection[1]):
-                connection[STATE] = STATE_REQUEST
+            if connection[STATE_INDEX] == STATE_IDLE and _has_bytes(connection[1]):
+                connection[STATE_INDEX] = STATE_REQUEST
 
 
 def _has_bytes(connection: Any) -> bool:
--- a/libs/serving/ruddersaddle_serving/caller_protocols.py
+++ b/libs/serving/ruddersaddle_serving/caller_protocols.py
@@ -6,15 +6,15 @@
 from eventlet.wsgi import STATE_IDLE, STATE_REQUEST, HttpProtocol
 from ruddersaddle_base import clocks
 
-from ruddersaddle_serving.caller_pools import STATE
+from ruddersaddle_serving.caller_pools import STATE_INDEX
 from ruddersaddle_serving.patient_timeouts import PatientTimeout
 from ruddersaddle_serving.routes import CallerLimits
 
-HEAD_MAX = 1 << 20
+HEAD_BYTES_MAX = 1 << 20
 """Longest head that is read at all, in bytes; the configuration's limit is checked on what was
 read. The library's own limits (8 KB a line) are below what configurations allow."""
-wsgi.MAX_HEADER_LINE = HEAD_MAX
-wsgi.MAX_TOTAL_HEADER_SIZE = HEAD_MAX
+wsgi.MAX_HEADER_LINE = HEAD_BYTES_MAX
+wsgi.MAX_TOTAL_HEADER_SIZE = HEAD_BYTES_MAX
 
 DIGITS = re.compile(r"[0-9]{1,18}\Z")
 NAME = re.compile(r"[!#$%&'*+\-.^_`|~0-9A-Za-z]+\Z")
@@ -47,10 +47,10 @@
         if not self._await_request():
             self.close_connection = True
             return
-        if self.conn_state[STATE] == STATE_IDLE:
+        if self.conn_state[STATE_INDEX] == STATE_IDLE:
             # Until the library has read a whole line it counts the connection as idle; a planned
             # stop closed 40 of 40 of which the first bytes had come.
-            self.conn_state[STATE] = STATE_REQUEST
+            self.conn_state[STATE_INDEX] = STATE_REQUEST
         self._head_timer = HeadTimeout(self.limits.header_timeout_s)
         try:
             super().handle_one_request()
--- a/libs/serving/ruddersaddle_serving/entry_hosts.py
+++ b/libs/serving/ruddersaddle_serving/entry_hosts.py
@@ -18,9 +18,9 @@
 from ruddersaddle_base.settings import Settings
 from ruddersaddle_routing.retries import RetryBudget
 
-from ruddersaddle_serving.caller_listeners import LastingListener, find_room
+from ruddersaddle_serving.caller_listeners import ResilientListener, connection_limit
 from ruddersaddle_serving.caller_pools import CallerPool
-from ruddersaddle_serving.caller_protocols import HEAD_MAX, CallerProtocol
+from ruddersaddle_serving.caller_protocols import HEAD_BYTES_MAX, CallerProtocol
 from ruddersaddle_serving.crash_records import CrashRecords
 from ruddersaddle_serving.crash_watches import CrashWatch
 from ruddersaddle_serving.fence_leases import FenceLease
@@ -89,7 +89,7 @@
 class ServedPort:
     """A listener, the task of its server, and the tasks of its connections."""
 
-    listener: LastingListener
+    listener: ResilientListener
     server: GreenThread
     pool: CallerPool
 
@@ -270,8 +270,8 @@
         host, _, port = self.settings.text(name).rpartition(":")
         listener = eventlet.listen((host, int(port)), backlog=BACKLOG, reuse_port=False)
         watch_callers(listener)
-        pool = CallerPool(find_room())
-        listener = LastingListener(listener, pool)
+        pool = CallerPool(connection_limit())
+        listener = ResilientListener(listener, pool)
         server = eventlet.spawn(
             eventlet.wsgi.server,
             listener,
@@ -280,7 +280,7 @@
             log_output=False,
             minimum_chunk_size=0,
             custom_pool=pool,
-            url_length_limit=HEAD_MAX,
+            url_length_limit=HEAD_BYTES_MAX,
             debug=False,
         )
         return ServedPort(listener, server, pool)
@@ -423,7 +423,7 @@
         self._sleep_until(self.signals.first_at + ACCEPT_AFTER_STOP_S)
         # One round of the loop takes what arrived while the process got no processor.
         eventlet.sleep(0)
-        callers.pool.keep_waiting()
+        callers.pool.mark_unread_as_busy()
         # The runner closes idle connections as it ends, and goes on with the others.
         callers.server.kill()
         callers.listener.close()
--- a/libs/serving/ruddersaddle_serving/tests/test_caller_listeners.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_caller_listeners.py
@@ -9,7 +9,7 @@
 import eventlet
 from eventlet.greenio import GreenSocket
 
-from ruddersaddle_serving.caller_listeners import LISTENER_GONE, LastingListener
+from ruddersaddle_serving.caller_listeners import LISTENER_GONE, ResilientListener
 
 PASSING = (
     errno.ECONNABORTED,
@@ -27,12 +27,12 @@
 WAIT_S = 5
 
 
-class LastingListenerTest(unittest.TestCase):
+class ResilientListenerTest(unittest.TestCase):
     def setUp(self) -> None:
         self.plain = eventlet.listen(("127.0.0.1", 0))
         self.pool = eventlet.GreenPool(2)
         self.taken: list[GreenSocket] = []
-        self.listener = LastingListener(self.plain, self.pool)
+        self.listener = ResilientListener(self.plain, self.pool)
         self.addCleanup(self.listener.close)
 
     def call(self) -> GreenSocket:
