--- a/libs/serving/ruddersaddle_serving/attempts.py
+++ b/libs/serving/ruddersaddle_serving/attempts.py
@@ -55,7 +55,7 @@
 
     def connect(self) -> Failure | None:
         """Get a connection; nothing is sent yet."""
-        exchange = self.choice.tracker.connections.begin()
+        exchange = self.choice.tracker.connections.open_exchange()
         if isinstance(exchange, Failure):
             self.choice.tracker.note_no_connection()
             self._reach = Reach.NO_CONNECTION
@@ -160,7 +160,7 @@
             return
         self._finished = True
         self.choice.tracker.in_flight -= 1
-        if self.exchange is not None and self.exchange.whole:
+        if self.exchange is not None and self.exchange.is_complete:
             self._reach = Reach.ANSWERED
         self._tell(Progress.ENDED, failed=failed, reach=self._reach)
         if self.exchange is not None:
--- a/libs/serving/ruddersaddle_serving/forwarders.py
+++ b/libs/serving/ruddersaddle_serving/forwarders.py
@@ -27,7 +27,7 @@
 
 ANSWER_MAX = 16 * 1024 * 1024
 """Longest answer that is read whole before it is passed on, in bytes."""
-CONNECTS_MAX = 6
+CONNECT_ATTEMPTS_MAX = 6
 """Upstreams that are tried for a connection; nothing was sent to those that gave none."""
 SILENT_FACTOR = 3.0
 """A request that ends without a first byte after this many latency targets, or as many times what
@@ -167,7 +167,7 @@
         """Send the request to the best upstream that takes a connection."""
         forwarder = self.forwarder
         failure: Failure | None = None
-        for _ in range(CONNECTS_MAX):
+        for _ in range(CONNECT_ATTEMPTS_MAX):
             if self.request.remaining_s < LEAST_REMAINING_S:
                 return Failure(Code.DEADLINE, Step.CONNECT, str(self.pool), "no time is left")
             choice = self._choose()
--- a/libs/serving/ruddersaddle_serving/reset_sockets.py
+++ b/libs/serving/ruddersaddle_serving/reset_sockets.py
@@ -43,7 +43,7 @@
         return aware
 
     @property
-    def is_quiet(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether the connection stands and nothing has arrived on it.
 
         It is asked without waiting: the library's own check lets other tasks run meanwhile, who
@@ -58,13 +58,13 @@
         return False
 
     @property
-    def has_unacknowledged(self) -> bool:
+    def has_unacknowledged_bytes(self) -> bool:
         """Whether bytes that were sent have not arrived at the other end."""
         # TIOCOUTQ is the number of SIOCOUTQ, too (tcp(7)).
         held = fcntl.ioctl(self.sock.fileno(), termios.TIOCOUTQ, bytes(COUNT.size))
         return COUNT.unpack(held)[0] > 0
 
-    def give_up_after(self, unacknowledged_s: float) -> None:
+    def set_user_timeout(self, unacknowledged_s: float) -> None:
         """End the connection when sent bytes are not acknowledged for this long."""
         bound_ms = max(1, int(unacknowledged_s * MS_PER_S))
         self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, bound_ms)
--- a/libs/serving/ruddersaddle_serving/tests/load_replays.py
+++ b/libs/serving/ruddersaddle_serving/tests/load_replays.py
@@ -17,7 +17,7 @@
 from ruddersaddle_base.failures import Failure
 from ruddersaddle_base.ids import HallId, HostId, ModelId, PoolId, RequestId, UpstreamId
 
-from ruddersaddle_serving.forwarders import CONNECTS_MAX
+from ruddersaddle_serving.forwarders import CONNECT_ATTEMPTS_MAX
 from ruddersaddle_serving.hosts import HostRecord, Hosts
 from ruddersaddle_serving.kept_parts import KeptParts
 from ruddersaddle_serving.load_shares import (
@@ -42,7 +42,7 @@
 )
 from ruddersaddle_serving.tests.test_load_shares import FakePeers
 from ruddersaddle_serving.trackers import Notice, Progress, Reach, Trackers
-from ruddersaddle_serving.upstream_connections import CONNECT_S, IDLE_S
+from ruddersaddle_serving.upstream_connections import CONNECT_TIMEOUT_S, IDLE_TIMEOUT_S
 from ruddersaddle_serving.upstream_entries import UpstreamEntry
 from ruddersaddle_serving.upstream_lists import UpstreamList
 from ruddersaddle_serving.upstream_shares import UpstreamShares
@@ -198,7 +198,7 @@
         """Return whether a request needs a new connection; it is kept for the next one."""
         now = clocks.now_s()
         is_new = self.connected_until.get(upstream, 0.0) < now
-        self.connected_until[upstream] = now + IDLE_S
+        self.connected_until[upstream] = now + IDLE_TIMEOUT_S
         return is_new
 
 
@@ -269,7 +269,7 @@
         is_new = self.host.connects(self.upstream)
         self.tally.connections += is_new
         if engine.dark and is_new:
-            self.replay.after(CONNECT_S, self._fail_to_connect)
+            self.replay.after(CONNECT_TIMEOUT_S, self._fail_to_connect)
             return
         self.host.placement.shares.note_sent(choice.tracker)
         engine.take(self)
@@ -281,7 +281,7 @@
         self.host.placement.trackers.by_id[self.upstream].note_no_connection()
         self._tell(Progress.ENDED, reach=Reach.NO_CONNECTION)
         self.excluded.add(self.upstream)
-        if len(self.excluded) < CONNECTS_MAX:
+        if len(self.excluded) < CONNECT_ATTEMPTS_MAX:
             self._choose()
         else:
             self._give_up("unserved")
--- a/libs/serving/ruddersaddle_serving/tests/test_attempts.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_attempts.py
@@ -36,7 +36,7 @@
 
     def test_request_without_a_connection_counts_no_more(self) -> None:
         lost = Failure(Code.UPSTREAM_FAILED, Step.CONNECT, "e")
-        with mock.patch.object(self.tracker.connections, "begin", return_value=lost):
+        with mock.patch.object(self.tracker.connections, "open_exchange", return_value=lost):
             self.assertIs(self.attempt.connect(), lost)
         self.attempt.finish(None)
         self.assertEqual((self.tracker.load.tokens, self.tracker.in_flight), (0, 0))
--- a/libs/serving/ruddersaddle_serving/tests/test_forwarders.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_forwarders.py
@@ -81,7 +81,7 @@
         """Seen while a third of the engines came back: callers got a 502 without any promise."""
         lost = Failure(Code.UPSTREAM_FAILED, Step.CONNECT, "e", "refused", Ran.NOT_RUN)
         choice = Choice(mock.Mock(in_flight=0), 1, None, 1)
-        choice.tracker.connections.begin.return_value = lost
+        choice.tracker.connections.open_exchange.return_value = lost
         forwarding = self.make_forwarding()
         with mock.patch.object(forwarding, "_choose", return_value=choice):
             result = forwarding._open(None)
--- a/libs/serving/ruddersaddle_serving/tests/test_upstream_connections.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_upstream_connections.py
@@ -33,15 +33,15 @@
 
     def keep_one(self) -> Exchange:
         """Open a connection and keep it, as after a whole answer."""
-        exchange = self.pool.begin()
+        exchange = self.pool.open_exchange()
         self.assertIsInstance(exchange, Exchange)
         eventlet.sleep(0.02)
-        self.pool.keep(exchange.connection, None)
+        self.pool.release(exchange.connection, None)
         return exchange
 
     def test_kept_connection_is_used_again(self) -> None:
         kept = self.keep_one()
-        self.assertIs(self.pool.begin().connection, kept.connection)
+        self.assertIs(self.pool.open_exchange().connection, kept.connection)
 
     def test_connection_that_falls_silent_is_given_up_by_the_system(self) -> None:
         """Probes and the bound on unacknowledged bytes find it; nothing here has to be sent."""
@@ -54,22 +54,22 @@
         kept = self.keep_one()
         tidying = eventlet.spawn(self.pool.close_expired)
         eventlet.sleep(0)
-        taken = self.pool.begin()
+        taken = self.pool.open_exchange()
         tidying.wait()
         self.assertIs(taken.connection, kept.connection)
-        self.assertIsNot(self.pool.begin().connection, kept.connection)
+        self.assertIsNot(self.pool.open_exchange().connection, kept.connection)
 
     def test_connection_on_which_something_arrived_is_closed(self) -> None:
         kept = self.keep_one()
         self.accepted[0].sendall(b"late answer")
         eventlet.sleep(0.02)
-        self.assertIsNot(self.pool.begin().connection, kept.connection)
+        self.assertIsNot(self.pool.open_exchange().connection, kept.connection)
 
     def test_connection_that_the_upstream_closed_is_not_used(self) -> None:
         kept = self.keep_one()
         self.accepted[0].close()
         eventlet.sleep(0.02)
-        self.assertIsNot(self.pool.begin().connection, kept.connection)
+        self.assertIsNot(self.pool.open_exchange().connection, kept.connection)
 
 
 if __name__ == "__main__":
--- a/libs/serving/ruddersaddle_serving/upstream_connections.py
+++ b/libs/serving/ruddersaddle_serving/upstream_connections.py
@@ -19,11 +19,11 @@
 from ruddersaddle_serving.reset_sockets import UpstreamConnection
 from ruddersaddle_serving.silent_peers import LIVENESS_OPTIONS, UNACKNOWLEDGED_MS
 
-CONNECT_S = 0.35
+CONNECT_TIMEOUT_S = 0.35
 """Longest wait for a connection. Upstreams take one in a few milliseconds; a host that gets no
 processor for a moment must not take its own pause for theirs. 0.15 s served no more callers where
 hosts share which upstreams are silent (replay with a quarter of the engines dark)."""
-IDLE_S = 4.0
+IDLE_TIMEOUT_S = 4.0
 """Idle connections are kept this long where the upstream names no time of its own."""
 IDLE_MARGIN_S = 1.0
 """An idle connection is left alone this long before the upstream would close it."""
@@ -54,7 +54,7 @@
     @property
     def is_usable(self) -> bool:
         """Whether it is young enough and nothing has arrived on it."""
-        return clocks.now_s() < self.until and self.connection.is_quiet
+        return clocks.now_s() < self.until and self.connection.is_idle
 
 
 class Exchange:
@@ -65,7 +65,7 @@
         self.connection = connection
         self.raw: BaseHTTPResponse | None = None
         self.head: AnswerHead | None = None
-        self.whole = False
+        self.is_complete = False
         self.is_broken = False
         """Whether the connection ended before the answer did, other than by a time-out."""
         self._is_long = False
@@ -109,7 +109,7 @@
         """
         self._is_long = len(body) > LONG_BODY
         if self._is_long:
-            self.connection.give_up_after(max(remaining_s, UNACKNOWLEDGED_S))
+            self.connection.set_user_timeout(max(remaining_s, UNACKNOWLEDGED_S))
 
     def read_head(self, wire: Wire) -> AnswerHead | Failure:
         """Wait for the head of the answer."""
@@ -131,7 +131,7 @@
         except ERRORS as error:
             return self._fail(Step.READ, error)
         if not data:
-            self.whole = True
+            self.is_complete = True
         return data
 
     def read_all(self, bytes_max: int) -> bytes | Failure:
@@ -151,12 +151,12 @@
 
     def finish(self) -> None:
         """Keep the connection if its answer was read whole, or close it."""
-        if not self.whole or not self._may_be_kept():
+        if not self.is_complete or not self._may_be_kept():
             self.connection.close()
             return
         if self._is_long:
-            self.connection.give_up_after(UNACKNOWLEDGED_S)
-        self.pool.keep(self.connection, self.head.keep_alive_s)
+            self.connection.set_user_timeout(UNACKNOWLEDGED_S)
+        self.pool.release(self.connection, self.head.keep_alive_s)
 
     def _may_be_kept(self) -> bool:
         if self.raw is None or self.raw.version != 11 or self._break is not None:
@@ -164,7 +164,7 @@
         if "close" in self.raw.headers.get("Connection", "").lower() or not self._is_delimited:
             return False
         # An upstream may answer first and read on later; a next request would wait behind the body.
-        return not (self._is_long and self.connection.has_unacknowledged)
+        return not (self._is_long and self.connection.has_unacknowledged_bytes)
 
     @property
     def _is_delimited(self) -> bool:
@@ -194,7 +194,7 @@
         """Whether the next request probably needs no new connection."""
         return any(idle.is_usable for idle in self._idle)
 
-    def begin(self) -> Exchange | Failure:
+    def open_exchange(self) -> Exchange | Failure:
         """Return an exchange on an idle connection, or on a new one."""
         while self._idle:
             idle = self._idle.pop()
@@ -202,7 +202,7 @@
                 return Exchange(self, idle.connection)
             idle.connection.close()
         connection = UpstreamConnection(
-            self._host, self._port, timeout=CONNECT_S, socket_options=SOCKET_OPTIONS
+            self._host, self._port, timeout=CONNECT_TIMEOUT_S, socket_options=SOCKET_OPTIONS
         )
         try:
             connection.connect()
@@ -215,9 +215,9 @@
         connection.timeout = None
         return Exchange(self, connection)
 
-    def keep(self, connection: UpstreamConnection, idle_s: float | None) -> None:
+    def release(self, connection: UpstreamConnection, idle_s: float | None) -> None:
         """Keep a connection for the next request."""
-        kept_s = IDLE_S if idle_s is None else idle_s
+        kept_s = IDLE_TIMEOUT_S if idle_s is None else idle_s
         if kept_s <= IDLE_MARGIN_S or len(self._idle) >= IDLE_MAX:
             connection.close()
             return
