--- a/libs/serving/ruddersaddle_serving/caller_protocols.py
+++ b/libs/serving/ruddersaddle_serving/caller_protocols.py
@@ -7,7 +7,7 @@
 from ruddersaddle_base import clocks
 
 from ruddersaddle_serving.caller_pools import STATE_INDEX
-from ruddersaddle_serving.patient_timeouts import PatientTimeout
+from ruddersaddle_serving.deferred_timeouts import DeferredTimeout
 from ruddersaddle_serving.routes import CallerLimits
 
 HEAD_BYTES_MAX = 1 << 20
@@ -27,7 +27,7 @@
 )
 
 
-class HeadTimeout(PatientTimeout):
+class HeadTimeout(DeferredTimeout):
     """Raised when a caller takes too long for a request's head."""
 
 
@@ -62,7 +62,7 @@
     def _await_request(self) -> bool:
         """Return whether a byte of a next request arrived."""
         try:
-            with PatientTimeout(self.limits.idle_timeout_s, False):
+            with DeferredTimeout(self.limits.idle_timeout_s, False):
                 return bool(self.rfile.peek(1))
         except (OSError, ValueError):
             # The connection was reset, or was closed by a planned stop.
--- a/libs/serving/ruddersaddle_serving/patient_timeouts.py
+++ b/libs/serving/ruddersaddle_serving/deferred_timeouts.py
@@ -11,13 +11,13 @@
 from eventlet.hubs import get_hub
 
 
-class PatientTimeout(eventlet.Timeout):
+class DeferredTimeout(eventlet.Timeout):
     """A timeout that is raised only after the event loop has looked at its sockets once more.
 
     Bytes that are there wake their task first, which may end what is timed and cancel this.
     """
 
-    def start(self) -> "PatientTimeout":
+    def start(self) -> "DeferredTimeout":
         """Begin to count; the library's constructor calls this."""
         task = eventlet.getcurrent()
         self.timer = get_hub().schedule_call_global(self.seconds, self._look_first, task)
--- a/libs/serving/ruddersaddle_serving/fronts.py
+++ b/libs/serving/ruddersaddle_serving/fronts.py
@@ -13,8 +13,8 @@
 
 from ruddersaddle_serving.caller_bodies import read_body
 from ruddersaddle_serving.caller_watches import CallerLeftError, CallerWatch
+from ruddersaddle_serving.deferred_timeouts import DeferredTimeout
 from ruddersaddle_serving.forwarders import Forwarder, Forwarding, Whole
-from ruddersaddle_serving.patient_timeouts import PatientTimeout
 from ruddersaddle_serving.ports import AnswerHead, Wire
 from ruddersaddle_serving.prompts import CallerHead, CallerRequest
 from ruddersaddle_serving.publications import Publications
@@ -54,7 +54,7 @@
 """Outcome of a request whose answer could not be written: the connection had failed."""
 
 
-class RouteTimeout(PatientTimeout):
+class RouteTimeout(DeferredTimeout):
     """Raised into a request whose time, or whose route's time, is over."""
 
 
@@ -198,7 +198,7 @@
         return found
 
     def _read_body(self, table: RouteTable, route: Route) -> bytes | Failure:
-        with PatientTimeout(route.timeout_s, False):
+        with DeferredTimeout(route.timeout_s, False):
             return read_body(self.environ, table.published.limits.body_bytes)
         return Failure(Code.DEADLINE, Step.PARSE, "caller", "the body did not come in time")
 
--- a/libs/serving/ruddersaddle_serving/tests/test_patient_timeouts.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_deferred_timeouts.py
@@ -8,7 +8,7 @@
 from eventlet.hubs import trampoline
 from ruddersaddle_base import clocks
 
-from ruddersaddle_serving.patient_timeouts import PatientTimeout
+from ruddersaddle_serving.deferred_timeouts import DeferredTimeout
 
 TIME_S = 0.05
 hold_up = patcher.original("time").sleep
@@ -17,7 +17,7 @@
 """For how long a step holds the event loop up, past the time."""
 
 
-class PatientTimeoutTest(unittest.TestCase):
+class DeferredTimeoutTest(unittest.TestCase):
     def setUp(self) -> None:
         self.near, self.far = socket.socketpair()
         self.addCleanup(self.near.close)
@@ -30,7 +30,7 @@
 
     def wait(self) -> bool:
         """Return whether a byte came before the timeout."""
-        with PatientTimeout(TIME_S, False):
+        with DeferredTimeout(TIME_S, False):
             trampoline(self.near.fileno(), read=True)
             return True
         return False
@@ -46,7 +46,7 @@
         self.assertGreaterEqual(clocks.now_s() - began, TIME_S)
 
     def test_cancelled_between_its_two_steps_it_is_not_raised(self) -> None:
-        timeout = PatientTimeout(TIME_S)
+        timeout = DeferredTimeout(TIME_S)
         eventlet.spawn_after(TIME_S + 0.001, timeout.cancel)
         eventlet.spawn(hold_up, HELD_S)
         eventlet.sleep(HELD_S * 2)
