--- a/libs/serving/ruddersaddle_serving/attempts.py
+++ b/libs/serving/ruddersaddle_serving/attempts.py
@@ -19,9 +19,9 @@
 _numbers = itertools.count(1)
 """Numbers of this process's tries, by which other hosts tell them apart."""
 
-PROMISES = frozenset({408, 421, 429, 503})
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 """Statuses that promise the caller that its request has not run and never will."""
-REFUSED_RETRY_S = 0.2
+REFUSAL_RETRY_AFTER_S = 0.2
 """When a caller should come back after a refusal of an upstream; what it refuses for (a full queue,
 weights being loaded) passes in some hundred milliseconds, or another upstream takes it."""
 
@@ -35,9 +35,9 @@
         choice: Choice,
         wire: Wire,
         last_event: str | None,
-        tell: Callable[[Notice], None],
+        broadcast_notice: Callable[[Notice], None],
     ) -> None:
-        self.tell = tell
+        self.broadcast_notice = broadcast_notice
         self.number = next(_numbers)
         self.request = request
         self.choice = choice
@@ -51,7 +51,7 @@
         self._reach = Reach.NOTHING
         # It counts from the choice: while a connection came about (1 to 3 ms), all requests of one
         # moment were sent to the engine that had looked idle to the first of them.
-        self._tell(Progress.SENT, assignment=choice.assignment, expected_s=choice.first_s)
+        self._broadcast(Progress.SENT, assignment=choice.assignment, expected_s=choice.first_s)
 
     def connect(self) -> Failure | None:
         """Get a connection; nothing is sent yet."""
@@ -88,7 +88,7 @@
             is_ordinary = head.has_receipt and head.request == self.request.id
             notice = self.choice.tracker.hear(head.report, self.request.id, is_ordinary)
             if notice is not None:
-                self.tell(notice)
+                self.broadcast_notice(notice)
         return self._check(head)
 
     def _is_from_chosen(self, head: AnswerHead) -> bool:
@@ -103,40 +103,40 @@
     def _check(self, head: AnswerHead) -> AnswerHead | Failure:
         """Return the head, or why this answer is not the caller's."""
         if head.not_run:
-            return self._refused(head)
+            return self._refusal(head)
         if head.request != self.request.id:
-            return self._spoiled("the answer belongs to another request")
+            return self._invalid("the answer belongs to another request")
         if head.encoded:
-            return self._spoiled("the body is encoded, which nobody asked for")
-        if head.status in PROMISES:
-            return self._spoiled(f"status {head.status} without word that it did not run")
+            return self._invalid("the body is encoded, which nobody asked for")
+        if head.status in NOT_RUN_STATUSES:
+            return self._invalid(f"status {head.status} without word that it did not run")
         if 200 <= head.status < 300 and not head.has_receipt:
-            return self._spoiled("a success without its receipt")
+            return self._invalid("a success without its receipt")
         if head.status < 200 or 300 <= head.status < 400:
-            return self._spoiled(f"status {head.status}")
+            return self._invalid(f"status {head.status}")
         return head
 
-    def _refused(self, head: AnswerHead) -> Failure:
-        self._read_refusal()
+    def _refusal(self, head: AnswerHead) -> Failure:
+        self._drain_refusal()
         tracker = self.choice.tracker
         prompt = self.request.head.prompt
         if head.version is not None and prompt is not None:
             tracker.take_version(prompt.model, head.version)
         if head.status == 421 and head.upstream not in (None, tracker.id):
-            self._tell(Progress.REPLACED)
+            self._broadcast(Progress.REPLACED)
         code = Code.OTHER_VERSION if head.status == 421 else Code.OVERLOADED
         detail = f"status {head.status}, answered by {head.upstream}"
         return Failure(
-            code, Step.SEND, tracker.id, detail, Ran.NOT_RUN, retry_after_s=REFUSED_RETRY_S
+            code, Step.SEND, tracker.id, detail, Ran.NOT_RUN, retry_after_s=REFUSAL_RETRY_AFTER_S
         )
 
-    def _read_refusal(self) -> None:
+    def _drain_refusal(self) -> None:
         """Read the refusal's body so that its connection can be used again."""
         data = self.exchange.read_all(65536)
         if isinstance(data, Failure):
             logger.debug("Refusal was not read whole. %s", data.detail)
 
-    def _spoiled(self, detail: str) -> Failure:
+    def _invalid(self, detail: str) -> Failure:
         tracker = self.choice.tracker
         return Failure(Code.UPSTREAM_FAILED, Step.READ, tracker.id, detail, Ran.UNKNOWN)
 
@@ -145,12 +145,12 @@
         """Whether its connection ended before the answer did."""
         return self.exchange is not None and self.exchange.is_broken
 
-    def note_first_event(self) -> None:
+    def record_first_event(self) -> None:
         """Take that the prompt was read."""
-        self._tell(Progress.FIRST)
+        self._broadcast(Progress.FIRST)
 
-    def _tell(self, progress: Progress, **more: Any) -> None:
-        self.tell(
+    def _broadcast(self, progress: Progress, **more: Any) -> None:
+        self.broadcast_notice(
             Notice(self._start.id, self.number, progress, born_ms=self._start.born_ms, **more)
         )
 
@@ -162,6 +162,6 @@
         self.choice.tracker.in_flight -= 1
         if self.exchange is not None and self.exchange.is_complete:
             self._reach = Reach.ANSWERED
-        self._tell(Progress.ENDED, failed=failed, reach=self._reach)
+        self._broadcast(Progress.ENDED, failed=failed, reach=self._reach)
         if self.exchange is not None:
             self.exchange.finish()
--- a/libs/serving/ruddersaddle_serving/forwarders.py
+++ b/libs/serving/ruddersaddle_serving/forwarders.py
@@ -49,7 +49,7 @@
 """After these another upstream would not do better."""
 
 
-class Whole(msgspec.Struct, frozen=True):
+class CompleteAnswer(msgspec.Struct, frozen=True):
     """A whole answer."""
 
     status: int
@@ -57,11 +57,11 @@
     body: bytes
 
 
-class Trail:
+class RequestTrace:
     """What was done with a request, for its line in the log."""
 
     def __init__(self) -> None:
-        self.tries: list[str] = []
+        self.attempts: list[str] = []
         self.upstream = ""
         self.version: int | None = None
         self.wait_s = 0.0
@@ -69,8 +69,8 @@
         self.missing_tokens = 0
         self.candidates = 0
         self.weighed: tuple[str, ...] = ()
-        self.fetched = 0
-        self.saved = 0
+        self.fetched_parts = 0
+        self.saved_parts = 0
         self.first_s: float | None = None
 
 
@@ -84,10 +84,10 @@
         publications: Publications,
         budget: RetryBudget,
         key_age_max_s: float,
-        tell: Callable[[Notice], None],
+        broadcast_notice: Callable[[Notice], None],
         crashes: CrashWatch,
     ) -> None:
-        self.tell = tell
+        self.broadcast_notice = broadcast_notice
         self.crashes = crashes
         self.placement = placement
         self.wire = wire
@@ -118,7 +118,7 @@
     def __init__(self, forwarder: Forwarder, request: CallerRequest) -> None:
         self.forwarder = forwarder
         self.request = request
-        self.trail = Trail()
+        self.trace = RequestTrace()
         self.attempt: Attempt | None = None
         self.splitter = EventSplitter()
         self.pool: PoolId | None = None
@@ -127,7 +127,7 @@
         self._may_have_run = False
         self._first = b""
 
-    def begin(self) -> Whole | AnswerHead | Failure:
+    def begin(self) -> CompleteAnswer | AnswerHead | Failure:
         """Return a whole answer, the head of a stream whose first event is here, or a failure."""
         self.pool = self.forwarder.placement.pick_pool(self.request.route)
         if self.pool is None:
@@ -155,7 +155,7 @@
         code = Code.DEADLINE if failure.code is Code.DEADLINE else Code.UPSTREAM_FAILED
         return msgspec.structs.replace(failure, code=code, ran=Ran.UNKNOWN)
 
-    def _try_once(self, last_event: str | None) -> Whole | AnswerHead | Failure:
+    def _try_once(self, last_event: str | None) -> CompleteAnswer | AnswerHead | Failure:
         opened = self._open(last_event)
         if isinstance(opened, Failure):
             return opened
@@ -173,7 +173,9 @@
             choice = self._choose()
             if isinstance(choice, Failure):
                 return choice if failure is None else self._without_connection(failure)
-            self.attempt = Attempt(self.request, choice, forwarder.wire, last_event, forwarder.tell)
+            self.attempt = Attempt(
+                self.request, choice, forwarder.wire, last_event, forwarder.broadcast_notice
+            )
             self._note_choice()
             failure = self.attempt.connect()
             word = "no connection"
@@ -226,19 +228,19 @@
 
     def _note_choice(self) -> None:
         choice = self.attempt.choice
-        trail = self.trail
-        trail.upstream = choice.tracker.id
-        trail.version = choice.version
-        trail.wait_s = choice.wait_s
-        trail.covered_tokens = choice.covered_tokens
-        trail.missing_tokens = choice.missing_tokens
-        trail.candidates = choice.candidates
-        trail.weighed = choice.weighed
+        trace = self.trace
+        trace.upstream = choice.tracker.id
+        trace.version = choice.version
+        trace.wait_s = choice.wait_s
+        trace.covered_tokens = choice.covered_tokens
+        trace.missing_tokens = choice.missing_tokens
+        trace.candidates = choice.candidates
+        trace.weighed = choice.weighed
         if choice.transfer is not None:
-            trail.fetched = sum(place is not None for place in choice.transfer.fetch_from)
-            trail.saved = sum(place is not None for place in choice.transfer.save_to)
+            trace.fetched_parts = sum(place is not None for place in choice.transfer.fetch_from)
+            trace.saved_parts = sum(place is not None for place in choice.transfer.save_to)
 
-    def _read_whole(self, head: AnswerHead) -> Whole | Failure:
+    def _read_whole(self, head: AnswerHead) -> CompleteAnswer | Failure:
         body = self.attempt.exchange.read_all(ANSWER_MAX)
         upstream = self.attempt.choice.tracker.id
         if isinstance(body, Failure):
@@ -253,11 +255,11 @@
             if again is not None:
                 return again
         self._note_first()
-        return Whole(head.status, head.headers, body)
+        return CompleteAnswer(head.status, head.headers, body)
 
-    def _try_again_after_error(self) -> Whole | AnswerHead | None:
+    def _try_again_after_error(self) -> CompleteAnswer | AnswerHead | None:
         """Return a better answer of another upstream to a request that may be repeated."""
-        failure = Failure(Code.UPSTREAM_FAILED, Step.READ, self.trail.upstream, "", Ran.RAN)
+        failure = Failure(Code.UPSTREAM_FAILED, Step.READ, self.trace.upstream, "", Ran.RAN)
         if not self._may_try_again(failure):
             return None
         result = self._try_once(self.request.head.last_event)
@@ -276,13 +278,13 @@
                 self._first = self.splitter.take_rest()
                 break
             self._first = self.splitter.take(data)
-        self.attempt.note_first_event()
+        self.attempt.record_first_event()
         self._note_first()
         return head
 
     def _note_first(self) -> None:
-        if self.trail.first_s is None:
-            self.trail.first_s = clocks.now_s() - self.request.began
+        if self.trace.first_s is None:
+            self.trace.first_s = clocks.now_s() - self.request.began
 
     def events(self) -> Iterator[bytes | Failure]:
         """Yield whole events as they arrive; a failure, if any, comes last."""
@@ -320,7 +322,7 @@
                     "Stream of %s goes on after %s.", self.request.id, self.splitter.last_id
                 )
                 return None
-            if isinstance(result, Whole):
+            if isinstance(result, CompleteAnswer):
                 return failure
             failure = result
         return failure
@@ -341,7 +343,7 @@
         return self.forwarder.budget.take()
 
     def _end_attempt(self, failed: bool | None, word: str) -> None:
-        self.trail.tries.append(word)
+        self.trace.attempts.append(word)
         if self.attempt.is_broken:
             self.forwarder.crashes.note_broken(
                 self.attempt.choice.tracker, self.request.fingerprint
@@ -356,7 +358,7 @@
     def _was_silent(self) -> bool:
         """Return whether the upstream gave nothing for far longer than it should have taken."""
         sent_at = self.attempt.sent_at
-        if sent_at is None or self.trail.first_s is not None:
+        if sent_at is None or self.trace.first_s is not None:
             return False
         silent_s = clocks.now_s() - sent_at
         # By the target alone a large prompt counts against whatever reads it.
--- a/libs/serving/ruddersaddle_serving/fronts.py
+++ b/libs/serving/ruddersaddle_serving/fronts.py
@@ -14,7 +14,7 @@
 from ruddersaddle_serving.caller_bodies import read_body
 from ruddersaddle_serving.caller_watches import CallerLeftError, CallerWatch
 from ruddersaddle_serving.deferred_timeouts import DeferredTimeout
-from ruddersaddle_serving.forwarders import Forwarder, Forwarding, Whole
+from ruddersaddle_serving.forwarders import CompleteAnswer, Forwarder, Forwarding
 from ruddersaddle_serving.ports import AnswerHead, Wire
 from ruddersaddle_serving.prompts import CallerHead, CallerRequest
 from ruddersaddle_serving.publications import Publications
@@ -148,10 +148,10 @@
             self._end("ended with its task")
             raise
 
-    def _end_with(self, body: list[bytes], word: str = ANSWERED) -> "_WholeBody":
+    def _end_with(self, body: list[bytes], word: str = ANSWERED) -> "_CompleteBody":
         """Return an answer that is here whole; the request ends once it was written."""
         self._release()
-        return _WholeBody(body, word, self._note_end)
+        return _CompleteBody(body, word, self._note_end)
 
     # What the request is
 
@@ -213,11 +213,11 @@
         result = self.forwarding.begin()
         if isinstance(result, Failure):
             return self._end_with(self._refuse(result))
-        if isinstance(result, Whole):
+        if isinstance(result, CompleteAnswer):
             return self._end_with(self._answer(result))
         return self._stream(result)
 
-    def _answer(self, whole: Whole) -> list[bytes]:
+    def _answer(self, whole: CompleteAnswer) -> list[bytes]:
         headers = [*whole.headers, ("Content-Length", str(len(whole.body)))]
         self._start(whole.status, headers)
         return [whole.body]
@@ -318,7 +318,7 @@
         """Return what on-call needs to know of a request that is cut."""
         request = None if self.head is None else self.head.id
         route = None if self.request is None else self.request.route.name
-        upstream = None if self.forwarding is None else self.forwarding.trail.upstream
+        upstream = None if self.forwarding is None else self.forwarding.trace.upstream
         return InterruptedRequest(request, route, upstream, clocks.now_s() - self.began)
 
     def _note_fault(self) -> None:
@@ -366,26 +366,26 @@
         fields["fingerprint"] = request.fingerprint
         if self.forwarding is None:
             return
-        trail = self.forwarding.trail
-        fields["upstream"] = trail.upstream
-        fields["weights"] = trail.version
-        fields["wait_ms"] = round(trail.wait_s * 1000)
-        fields["covered_tokens"] = trail.covered_tokens
-        fields["missing_tokens"] = trail.missing_tokens
+        trace = self.forwarding.trace
+        fields["upstream"] = trace.upstream
+        fields["weights"] = trace.version
+        fields["wait_ms"] = round(trace.wait_s * 1000)
+        fields["covered_tokens"] = trace.covered_tokens
+        fields["missing_tokens"] = trace.missing_tokens
         if request.head.prompt is not None:
             fields["prompt_tokens"] = request.head.prompt.tokens_in
             fields["size"] = self.size_band.value
             fields["affinity"] = request.head.prompt.affinity_key
-        fields["candidates"] = trail.candidates
-        fields["weighed"] = trail.weighed
-        fields["fetched_parts"] = trail.fetched
-        fields["saved_parts"] = trail.saved
-        fields["tries"] = trail.tries
+        fields["candidates"] = trace.candidates
+        fields["weighed"] = trace.weighed
+        fields["fetched_parts"] = trace.fetched_parts
+        fields["saved_parts"] = trace.saved_parts
+        fields["tries"] = trace.attempts
         entries_s = clocks.now_s() - self.front.forwarder.placement.upstreams.confirmed_at
         fields["entries_age_ms"] = _milliseconds(entries_s)
-        if trail.first_s is not None:
-            fields["first_ms"] = round(trail.first_s * 1000)
-            self._record(Measure.FIRST_TOKEN, trail.first_s)
+        if trace.first_s is not None:
+            fields["first_ms"] = round(trace.first_s * 1000)
+            self._record(Measure.FIRST_TOKEN, trace.first_s)
         if self.status == 200:
             self._record(Measure.WHOLE, clocks.now_s() - self.began)
 
@@ -395,7 +395,7 @@
         self.front.histograms.record(measure, workspace, request.route.name, elapsed_s * 1000)
 
 
-class _WholeBody:
+class _CompleteBody:
     """An answer that is here whole; the runner closes it once it was written.
 
     A planned stop waits for that. Counted as ended before, an answer of which the caller had not
