--- a/libs/daemon/ruddersaddle/contexts.py
+++ b/libs/daemon/ruddersaddle/contexts.py
@@ -77,7 +77,7 @@
         """Return the first choice of store host for a chain, or the next if its link is down."""
         for name in rank_names(keys[0], self.store_by_id):
             store = self.store_by_id[name]
-            if store.link.up:
+            if store.link.is_up:
                 return store
         return None
 
@@ -90,7 +90,7 @@
             return Found(Kept())
         count = store.find(keys)
         if isinstance(count, Failure):
-            store.link.fail()
+            store.link.record_failure()
             return Found(Kept())
         if count.count == 0:
             return Found(Kept(), store)
@@ -125,9 +125,9 @@
         store = found.store
         keys = chain[cached:]
         size = len(keys) * found.bytes_per_block
-        store.link.waiting_bytes += size
+        store.link.queued_bytes += size
         frames = store.read(keys)
-        store.link.waiting_bytes -= size
+        store.link.queued_bytes -= size
         if isinstance(frames, Failure) or not frames:
             self.counts.fetch_failures += 1
             return 0
@@ -156,7 +156,7 @@
 
     def keep(self, engine: EngineClient, request: RequestId) -> int:
         """Export what its store host lacks of a request's context; return how many blocks."""
-        keys = engine.blocks_of(request)
+        keys = engine.list_request_blocks(request)
         if isinstance(keys, Failure) or len(keys) < self.min_blocks:
             return 0
         store = self._home(keys)
@@ -172,7 +172,7 @@
         if isinstance(frames, Failure):
             self.counts.keep_failures += 1
             return 0
-        if not store.link.take_background(len(frames)):
+        if not store.link.try_reserve_background(len(frames)):
             self.counts.keep_dropped += 1
             return 0
         written = store.write(frames)
--- a/libs/daemon/ruddersaddle/daemons.py
+++ b/libs/daemon/ruddersaddle/daemons.py
@@ -152,7 +152,7 @@
         limit_threads()
         start_collecting()
         self.peers.start()
-        self.hosts.read()
+        self.hosts.refresh()
         self._start_tasks()
         signal.signal(signal.SIGTERM, lambda *_: self.stop())
         signal.signal(signal.SIGINT, lambda *_: self.stop())
@@ -326,7 +326,7 @@
             link = store.link
             row = LinkStatus(
                 address=store.address,
-                up=link.up,
+                up=link.is_up,
                 rate_bytes_s=link.rate_bytes_s,
                 moved_bytes=link.moved_bytes,
                 useful_bytes=link.useful_bytes,
--- a/libs/daemon/ruddersaddle/publishers.py
+++ b/libs/daemon/ruddersaddle/publishers.py
@@ -97,7 +97,7 @@
         """Wait until every live host has the change in force; return how many have."""
         began = time.monotonic()
         while True:
-            self.hosts.read()
+            self.hosts.refresh()
             rows = [row for row in self.hosts.entries() if row.state is HostState.LIVE]
             statuses = [self.status_of(row.address) for row in rows]
             positions = [s.configuration_position for s in statuses if isinstance(s, Status)]
--- a/libs/daemon/ruddersaddle/service_routes.py
+++ b/libs/daemon/ruddersaddle/service_routes.py
@@ -13,7 +13,7 @@
 from ruddersaddle_state.entries import Workspace
 from ruddersaddle_upstreams.connections import Reply
 from ruddersaddle_upstreams.host_lists import HostList
-from ruddersaddle_upstreams.services import is_passed
+from ruddersaddle_upstreams.services import is_forwarded
 
 from ruddersaddle.answers import Answer, AnswerCounts
 from ruddersaddle.bodies import read_body
@@ -224,7 +224,7 @@
     headers = {
         name[5:].replace("_", "-").title(): value
         for name, value in environ.items()
-        if name.startswith("HTTP_") and is_passed(name[5:].replace("_", "-"))
+        if name.startswith("HTTP_") and is_forwarded(name[5:].replace("_", "-"))
     }
     headers["Request-Id"] = responder.request
     headers[WORKSPACE_HEADER] = workspace.id
@@ -237,7 +237,7 @@
 
 
 def _pass_reply(reply: Reply, responder: Responder) -> Iterable[bytes]:
-    passed = [(name, value) for name, value in reply.headers if is_passed(name)]
+    passed = [(name, value) for name, value in reply.headers if is_forwarded(name)]
     kept = [pair for pair in passed if pair[0].lower() not in ("content-type", "request-id")]
     by_name = {name.lower(): value for name, value in reply.headers}
     kind = by_name.get("content-type", "application/octet-stream")
--- a/libs/upstreams/ruddersaddle_upstreams/connections.py
+++ b/libs/upstreams/ruddersaddle_upstreams/connections.py
@@ -13,12 +13,12 @@
 
 READ_BYTES = 65536
 OK = 200
-BODILESS = (204, 304)
+BODILESS_STATUSES = (204, 304)
 """Statuses of answers that have no body."""
 CHUNK_END = b"\r\n"
 """Ends each chunk and stays in the buffer until the next one is read."""
 HTTP_ERRORS = (urllib3.exceptions.HTTPError, OSError)
-NEVER_SENT = (urllib3.exceptions.NewConnectionError, urllib3.exceptions.ConnectTimeoutError)
+NOT_SENT_ERRORS = (urllib3.exceptions.NewConnectionError, urllib3.exceptions.ConnectTimeoutError)
 """Errors that prove that no byte of the request has left."""
 
 
@@ -43,10 +43,10 @@
         self.status = raw.status
 
     @property
-    def has_stated_end(self) -> bool:
+    def is_delimited(self) -> bool:
         """Whether the answer says where it ends, so that one cut short can't pass for whole."""
         sized = is_whole(self.raw.headers.get("Content-Length", "").strip())
-        return sized or self.raw.chunked or self.status in BODILESS
+        return sized or self.raw.chunked or self.status in BODILESS_STATUSES
 
     def read_some(self) -> bytes | Failure:
         """Return what has arrived, waiting for something; empty at the end."""
@@ -57,7 +57,7 @@
                 data = self.raw.read1(READ_BYTES)
                 parts.append(data)
         except HTTP_ERRORS as error:
-            return fail(Step.READ, self.address, error, Ran.UNKNOWN)
+            return transport_failure(Step.READ, self.address, error, Ran.UNKNOWN)
         return b"".join(parts)
 
     def _has_more(self) -> bool:
@@ -109,10 +109,10 @@
                 preload_content=False,
                 redirect=False,
             )
-        except NEVER_SENT as error:
-            return fail(Step.CONNECT, self.address, error, Ran.NOT_RUN)
+        except NOT_SENT_ERRORS as error:
+            return transport_failure(Step.CONNECT, self.address, error, Ran.NOT_RUN)
         except HTTP_ERRORS as error:
-            return fail(Step.SEND, self.address, error, Ran.UNKNOWN)
+            return transport_failure(Step.SEND, self.address, error, Ran.UNKNOWN)
         return OpenReply(raw, self.address)
 
     def call(
@@ -126,8 +126,8 @@
             data = opened.raw.read()
         except HTTP_ERRORS as error:
             opened.close()
-            return fail(Step.READ, self.address, error, Ran.UNKNOWN)
-        if not opened.has_stated_end:
+            return transport_failure(Step.READ, self.address, error, Ran.UNKNOWN)
+        if not opened.is_delimited:
             opened.close()
             detail = "the answer does not say where it ends"
             return Failure(Code.UPSTREAM_FAILED, Step.READ, self.address, detail, Ran.UNKNOWN)
@@ -156,7 +156,7 @@
         self.pool.close()
 
 
-def fail(step: Step, address: str, error: Exception, ran: Ran) -> Failure:
+def transport_failure(step: Step, address: str, error: Exception, ran: Ran) -> Failure:
     """Return the failure of one call."""
     return Failure(Code.UPSTREAM_FAILED, step, address, type(error).__name__, ran)
 
--- a/libs/upstreams/ruddersaddle_upstreams/engines.py
+++ b/libs/upstreams/ruddersaddle_upstreams/engines.py
@@ -12,7 +12,7 @@
 EVENT_END = b"\n\n"
 DONE = b"data: [DONE]\n\n"
 INDEX_PATTERN = re.compile(rb'^data: \{"id":"([^"]*)","token":(\d+),', re.MULTILINE)
-HELD_HEADER = "Held-Blocks"
+HELD_BLOCKS_HEADER = "Held-Blocks"
 CONFLICT = 409
 BUSY = 503
 
@@ -97,7 +97,7 @@
         self.request_id = request.id.encode()
         self.next_token = request.first_token
         self.done = False
-        self._rest = b""
+        self._partial = b""
 
     def read_some(self) -> bytes | Failure:
         """Return whole events that have arrived; empty when the stream has ended whole."""
@@ -107,18 +107,18 @@
                 return data
             if not data:
                 return self._fail("the stream ended without its end mark")
-            events = self._take_whole(data)
+            events = self._split_complete(data)
             if events:
                 return self._check(events)
         return b""
 
-    def _take_whole(self, data: bytes) -> bytes:
-        joined = self._rest + data
+    def _split_complete(self, data: bytes) -> bytes:
+        joined = self._partial + data
         end = joined.rfind(EVENT_END) + len(EVENT_END)
         if end < len(EVENT_END):
-            self._rest = joined
+            self._partial = joined
             return b""
-        self._rest = joined[end:]
+        self._partial = joined[end:]
         return joined[:end]
 
     def _check(self, events: bytes) -> bytes | Failure:
@@ -193,7 +193,7 @@
         """Return all cached blocks."""
         return self._get("/v1/blocks", CacheListing)
 
-    def blocks_of(self, request: RequestId) -> list[BlockKey] | Failure:
+    def list_request_blocks(self, request: RequestId) -> list[BlockKey] | Failure:
         """Return the chain of a finished request, prompt and answer."""
         found = self._get(f"/v1/requests/{request}/blocks", KeyList)
         return found if isinstance(found, Failure) else found.keys
@@ -208,7 +208,7 @@
 
         `held` are the blocks before them in their chain, which are not to be dropped for them.
         """
-        headers = {HELD_HEADER: ",".join(held)} if held else None
+        headers = {HELD_BLOCKS_HEADER: ",".join(held)} if held else None
         reply = self.connections.call_ok("POST", "/v1/import", frames, Step.FETCH, headers)
         return reply if isinstance(reply, Failure) else len(frames)
 
--- a/libs/upstreams/ruddersaddle_upstreams/host_lists.py
+++ b/libs/upstreams/ruddersaddle_upstreams/host_lists.py
@@ -65,10 +65,10 @@
 
     def _run(self) -> None:
         while True:
-            self.read()
+            self.refresh()
             eventlet.sleep(self.poll_s)
 
-    def read(self) -> bool:
+    def refresh(self) -> bool:
         """Read the list if it has changed; return whether the platform answered."""
         data = self.connections.call_ok("GET", f"/hosts?since={self.version}", b"", Step.READ)
         if isinstance(data, Failure):
--- a/libs/upstreams/ruddersaddle_upstreams/links.py
+++ b/libs/upstreams/ruddersaddle_upstreams/links.py
@@ -4,9 +4,9 @@
 
 SMOOTHING = 0.3
 """Weight of the newest transfer in the measured rate."""
-SMALL_BYTES = 4096
+RATE_SAMPLE_BYTES_MIN = 4096
 """Transfers below this say more of latency than of rate."""
-DOWN_S = 2.0
+FAILURE_HOLD_S = 2.0
 """Seconds for which a link that failed is not used."""
 BACKGROUND_SHARE = 0.5
 """Share of the link's bytes a second that keeping and prefetching may use."""
@@ -23,33 +23,33 @@
         self.moved_bytes = 0
         self.useful_bytes = 0
         self.busy_s = 0.0
-        self.waiting_bytes = 0
-        self._failed_at = -DOWN_S
+        self.queued_bytes = 0
+        self._failed_at = -FAILURE_HOLD_S
         self._allowance = capacity_bytes_s * BACKGROUND_SHARE * BURST_S
         self._allowed_at = time.monotonic()
 
     @property
-    def up(self) -> bool:
+    def is_up(self) -> bool:
         """Whether the link may be used."""
-        return time.monotonic() - self._failed_at >= DOWN_S
+        return time.monotonic() - self._failed_at >= FAILURE_HOLD_S
 
-    def note(self, size: int, seconds: float) -> None:
+    def record_transfer(self, size: int, seconds: float) -> None:
         """Take one finished transfer into the measured rate."""
         self.moved_bytes += size
         self.busy_s += seconds
-        if size >= SMALL_BYTES and seconds > 0:
+        if size >= RATE_SAMPLE_BYTES_MIN and seconds > 0:
             rate = min(self.capacity_bytes_s, size / seconds)
             self.rate_bytes_s += SMOOTHING * (rate - self.rate_bytes_s)
 
-    def fail(self) -> None:
+    def record_failure(self) -> None:
         """Note a transfer that failed."""
         self._failed_at = time.monotonic()
 
     def estimate_s(self, size: int) -> float:
         """Return the seconds that `size` more bytes would take behind those that wait."""
-        return (self.waiting_bytes + size) / max(1.0, self.rate_bytes_s)
+        return (self.queued_bytes + size) / max(1.0, self.rate_bytes_s)
 
-    def take_background(self, size: int) -> bool:
+    def try_reserve_background(self, size: int) -> bool:
         """Take `size` bytes of the background's budget if it has them."""
         now = time.monotonic()
         refill = self.rate_bytes_s * BACKGROUND_SHARE
--- a/libs/upstreams/ruddersaddle_upstreams/services.py
+++ b/libs/upstreams/ruddersaddle_upstreams/services.py
@@ -6,7 +6,7 @@
 
 from ruddersaddle_upstreams.connections import Connections, Reply
 
-HOP_HEADERS = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     {
         "authorization",
         "connection",
@@ -41,13 +41,13 @@
     ) -> Reply | Failure:
         """Pass a call on and return its whole answer; a failure says whether it may have run."""
         connections = Connections(self.address, self.connect_s, self.read_s, keep=1)
-        passed = {name: value for name, value in headers.items() if is_passed(name)}
-        passed["Connection"] = "close"
-        reply = connections.call(method, path, body, passed)
+        forwarded = {name: value for name, value in headers.items() if is_forwarded(name)}
+        forwarded["Connection"] = "close"
+        reply = connections.call(method, path, body, forwarded)
         connections.close()
         return reply
 
 
-def is_passed(name: str) -> bool:
+def is_forwarded(name: str) -> bool:
     """Return whether a header is passed on."""
-    return name.lower() not in HOP_HEADERS
+    return name.lower() not in HOP_BY_HOP_HEADERS
--- a/libs/upstreams/ruddersaddle_upstreams/stores.py
+++ b/libs/upstreams/ruddersaddle_upstreams/stores.py
@@ -52,9 +52,9 @@
         body = encode_json(KeyList(keys))
         data = self.connections.call_ok("POST", "/v1/read", body, Step.FETCH)
         if isinstance(data, Failure):
-            self.link.fail()
+            self.link.record_failure()
             return data
-        self.link.note(len(data), time.monotonic() - started)
+        self.link.record_transfer(len(data), time.monotonic() - started)
         return self._verify(keys, data)
 
     def _verify(self, keys: list[BlockKey], data: bytes) -> list[Frame]:
@@ -73,10 +73,10 @@
         started = time.monotonic()
         reply = self.connections.call("POST", "/v1/write", frames)
         if isinstance(reply, Failure):
-            self.link.fail()
+            self.link.record_failure()
             return reply
         if reply.status != OK:
             code = Code.OVERLOADED if reply.status == FULL else Code.UPSTREAM_FAILED
             return Failure(code, Step.KEEP, self.address, f"status {reply.status}")
-        self.link.note(len(frames), time.monotonic() - started)
+        self.link.record_transfer(len(frames), time.monotonic() - started)
         return len(frames)
