--- a/libs/serving/ruddersaddle_serving/forwarders.py
+++ b/libs/serving/ruddersaddle_serving/forwarders.py
@@ -1,4 +1,4 @@
-"""Sends a request to an upstream, and to another one where that is allowed."""
+"""Forwards requests to upstreams, and retries them at another upstream where that is allowed."""
 
 import logging
 from collections.abc import Callable, Iterator
@@ -25,15 +25,16 @@
 
 logger = logging.getLogger(__name__)
 
-ANSWER_MAX = 16 * 1024 * 1024
-"""Longest answer that is read whole before it is passed on, in bytes."""
+ANSWER_BYTES_MAX = 16 * 1024 * 1024
+"""Largest answer that is buffered before it is forwarded, in bytes."""
 CONNECT_ATTEMPTS_MAX = 6
-"""Upstreams that are tried for a connection; nothing was sent to those that gave none."""
-SILENT_FACTOR = 3.0
-"""A request that ends without a first byte after this many latency targets, or as many times what
-was predicted, counts against its upstream; a caller that leaves earlier says nothing about it."""
-LEAST_REMAINING_S = 0.02
-"""With less time than this left nothing is sent any more."""
+"""Upstreams tried for a connection; nothing was sent to those that could not be connected to."""
+UNRESPONSIVE_FACTOR = 3.0
+"""A request that ends without a first byte after this multiple of its latency target, or of the
+predicted time if that is longer, counts as a failure of its upstream. A caller that disconnects
+earlier says nothing about the upstream."""
+REMAINING_MIN_S = 0.02
+"""Nothing is sent with less time than this left before the deadline."""
 
 
 FINAL_CODES = frozenset(
@@ -46,11 +47,11 @@
         Code.EVACUATED,
     }
 )
-"""After these another upstream would not do better."""
+"""Failures that are not retried, as another upstream would give the same result."""
 
 
 class CompleteAnswer(msgspec.Struct, frozen=True):
-    """A whole answer."""
+    """A buffered, complete answer."""
 
     status: int
     headers: Headers
@@ -58,7 +59,7 @@
 
 
 class RequestTrace:
-    """What was done with a request, for its line in the log."""
+    """How a request was forwarded, as logged when it ends."""
 
     def __init__(self) -> None:
         self.attempts: list[str] = []
@@ -75,7 +76,7 @@
 
 
 class Forwarder:
-    """Carries requests to upstreams; shared by all requests of a host."""
+    """Forwards requests to upstreams; shared by all requests of a host."""
 
     def __init__(
         self,
@@ -96,11 +97,11 @@
         self.key_age_max_s = key_age_max_s
 
     def start(self, request: CallerRequest) -> "Forwarding":
-        """Return the forwarding of one request."""
+        """Return a new forwarding of one request."""
         return Forwarding(self, request)
 
     def check_key_age(self, request: CallerRequest) -> Failure | None:
-        """Refuse a request with a key while the configuration may be too old to know of its end."""
+        """Refuse a keyed request while the configuration may be too old to show a revoked key."""
         if request.workspace is None:
             return None
         age_s = self.publications.age_s
@@ -113,7 +114,7 @@
 
 
 class Forwarding:
-    """One request on its way."""
+    """The forwarding of one request, over all of its attempts."""
 
     def __init__(self, forwarder: Forwarder, request: CallerRequest) -> None:
         self.forwarder = forwarder
@@ -125,24 +126,26 @@
         self._excluded: set[UpstreamId] = set()
         self._sent_count = 0
         self._may_have_run = False
-        self._first = b""
+        self._first_events = b""
 
     def begin(self) -> CompleteAnswer | AnswerHead | Failure:
-        """Return a whole answer, the head of a stream whose first event is here, or a failure."""
+        """Return a complete answer, a stream's head once its first event is read, or a failure."""
         self.pool = self.forwarder.placement.pick_pool(self.request.route)
         if self.pool is None:
             return Failure(Code.NO_UPSTREAM, Step.ADMIT, self.request.route.name, "no target")
         self.forwarder.budget.note_first()
         while True:
-            result = self._try_once(self.request.head.last_event)
+            result = self._attempt_once(self.request.head.last_event)
             if not isinstance(result, Failure):
                 return result
             self._may_have_run = self._may_have_run or result.ran is not Ran.NOT_RUN
-            if not self._may_try_again(result):
-                return self._without_promise(result) if self._may_have_run else self._dated(result)
+            if not self._may_retry(result):
+                return (
+                    self._as_unknown(result) if self._may_have_run else self._with_backoff(result)
+                )
 
-    def _dated(self, failure: Failure) -> Failure:
-        """Return a refusal of an upstream with when the first of its pool takes requests again."""
+    def _with_backoff(self, failure: Failure) -> Failure:
+        """Extend an overload refusal's retry delay until the first backoff in the pool ends."""
         if failure.step is not Step.SEND or failure.code is not Code.OVERLOADED:
             return failure
         rested_in_s = self.forwarder.placement.rested_in_s(self.pool)
@@ -150,25 +153,25 @@
             failure, retry_after_s=max(failure.retry_after_s, rested_in_s)
         )
 
-    def _without_promise(self, failure: Failure) -> Failure:
-        """Return a failure that doesn't say "not run": an earlier try may have run."""
+    def _as_unknown(self, failure: Failure) -> Failure:
+        """Return a failure that doesn't promise "not run": an earlier attempt may have run."""
         code = Code.DEADLINE if failure.code is Code.DEADLINE else Code.UPSTREAM_FAILED
         return msgspec.structs.replace(failure, code=code, ran=Ran.UNKNOWN)
 
-    def _try_once(self, last_event: str | None) -> CompleteAnswer | AnswerHead | Failure:
+    def _attempt_once(self, last_event: str | None) -> CompleteAnswer | AnswerHead | Failure:
         opened = self._open(last_event)
         if isinstance(opened, Failure):
             return opened
         if opened.status == 200 and self.request.route.kind is RouteKind.STREAM:
             return self._await_first(opened)
-        return self._read_whole(opened)
+        return self._read_complete(opened)
 
     def _open(self, last_event: str | None) -> AnswerHead | Failure:
-        """Send the request to the best upstream that takes a connection."""
+        """Send the request to the best upstream that accepts a connection."""
         forwarder = self.forwarder
         failure: Failure | None = None
         for _ in range(CONNECT_ATTEMPTS_MAX):
-            if self.request.remaining_s < LEAST_REMAINING_S:
+            if self.request.remaining_s < REMAINING_MIN_S:
                 return Failure(Code.DEADLINE, Step.CONNECT, str(self.pool), "no time is left")
             choice = self._choose()
             if isinstance(choice, Failure):
@@ -176,7 +179,7 @@
             self.attempt = Attempt(
                 self.request, choice, forwarder.wire, last_event, forwarder.broadcast_notice
             )
-            self._note_choice()
+            self._record_choice()
             failure = self.attempt.connect()
             word = "no connection"
             if failure is None:
@@ -189,15 +192,15 @@
         return self._without_connection(failure)
 
     def _without_connection(self, failure: Failure) -> Failure:
-        """Return that nothing was sent, so that the caller may come back soon.
+        """Return a failure stating that nothing was sent, so that the caller may retry soon.
 
-        As a failure of the upstream it reached the caller as a 502, which says nothing of whether
-        the request ran.
+        An upstream failure would reach the caller as a 502, which doesn't say whether the request
+        ran.
         """
         return msgspec.structs.replace(failure, code=Code.NO_UPSTREAM, retry_after_s=RETRY_SOON_S)
 
     def _choose(self) -> Choice | Failure:
-        """Return the upstream for the next try."""
+        """Return the upstream for the next attempt."""
         self.forwarder.crashes.settle(self.request.fingerprint)
         refusal = self._check_crashes()
         if refusal is not None:
@@ -207,7 +210,7 @@
         return placement.choose(self.request, self.pool, self._excluded, may_refuse)
 
     def _check_crashes(self) -> Failure | None:
-        """Refuse a request that crashes upstreams."""
+        """Refuse a request that has crashed upstreams."""
         return self.forwarder.crashes.check(self.request.fingerprint, self.pool)
 
     def _send(self) -> AnswerHead | Failure:
@@ -226,7 +229,7 @@
             self._end_attempt(None if refused else True, f"{upstream} {head.detail}")
         return head
 
-    def _note_choice(self) -> None:
+    def _record_choice(self) -> None:
         choice = self.attempt.choice
         trace = self.trace
         trace.upstream = choice.tracker.id
@@ -240,8 +243,8 @@
             trace.fetched_parts = sum(place is not None for place in choice.transfer.fetch_from)
             trace.saved_parts = sum(place is not None for place in choice.transfer.save_to)
 
-    def _read_whole(self, head: AnswerHead) -> CompleteAnswer | Failure:
-        body = self.attempt.exchange.read_all(ANSWER_MAX)
+    def _read_complete(self, head: AnswerHead) -> CompleteAnswer | Failure:
+        body = self.attempt.exchange.read_all(ANSWER_BYTES_MAX)
         upstream = self.attempt.choice.tracker.id
         if isinstance(body, Failure):
             self._end_attempt(True, f"{upstream} {body.detail}")
@@ -251,72 +254,72 @@
             self.forwarder.crashes.note_whole(self.request.fingerprint)
         self._end_attempt(failed, f"{upstream} status {head.status}")
         if failed and self._may_repeat():
-            again = self._try_again_after_error()
+            again = self._retry_after_error()
             if again is not None:
                 return again
-        self._note_first()
+        self._record_first()
         return CompleteAnswer(head.status, head.headers, body)
 
-    def _try_again_after_error(self) -> CompleteAnswer | AnswerHead | None:
-        """Return a better answer of another upstream to a request that may be repeated."""
+    def _retry_after_error(self) -> CompleteAnswer | AnswerHead | None:
+        """Retry a repeatable request after an error answer; None if no upstream did better."""
         failure = Failure(Code.UPSTREAM_FAILED, Step.READ, self.trace.upstream, "", Ran.RAN)
-        if not self._may_try_again(failure):
+        if not self._may_retry(failure):
             return None
-        result = self._try_once(self.request.head.last_event)
+        result = self._attempt_once(self.request.head.last_event)
         return None if isinstance(result, Failure) else result
 
     def _await_first(self, head: AnswerHead) -> AnswerHead | Failure:
-        """Read until the first whole event, so that a stream that breaks before can be repeated."""
-        self._first = b""
-        while not self._first:
+        """Read up to the first complete event; a stream that breaks before it can be retried."""
+        self._first_events = b""
+        while not self._first_events:
             data = self.attempt.exchange.read_some()
             if isinstance(data, Failure):
-                self.splitter.drop_rest()
+                self.splitter.discard_partial()
                 self._end_attempt(True, f"{self.attempt.choice.tracker.id} {data.detail}")
                 return data
             if not data:
-                self._first = self.splitter.take_rest()
+                self._first_events = self.splitter.flush()
                 break
-            self._first = self.splitter.take(data)
+            self._first_events = self.splitter.feed(data)
         self.attempt.record_first_event()
-        self._note_first()
+        self._record_first()
         return head
 
-    def _note_first(self) -> None:
+    def _record_first(self) -> None:
         if self.trace.first_s is None:
             self.trace.first_s = clocks.now_s() - self.request.began
 
     def events(self) -> Iterator[bytes | Failure]:
-        """Yield whole events as they arrive; a failure, if any, comes last."""
-        yield self._first
+        """Yield complete events as they arrive; a failure, if any, comes last."""
+        yield self._first_events
         while True:
             data = self.attempt.exchange.read_some()
             if isinstance(data, Failure):
-                self.splitter.drop_rest()
+                self.splitter.discard_partial()
                 self._end_attempt(True, f"{self.attempt.choice.tracker.id} {data.detail}")
                 failure = self._resume(data)
                 if failure is not None:
                     yield failure
                     return
-                yield self._first
+                yield self._first_events
                 continue
             if not data:
-                rest = self.splitter.take_rest()
+                rest = self.splitter.flush()
                 self.forwarder.crashes.note_whole(self.request.fingerprint)
                 self._end_attempt(False, "whole")
                 if rest:
                     yield rest
                 return
-            events = self.splitter.take(data)
+            events = self.splitter.feed(data)
             if events:
                 yield events
 
     def _resume(self, failure: Failure) -> Failure | None:
-        """Go on after the last whole event at another upstream, where the route allows it."""
+        """Resume after the last complete event at another upstream, if the route allows it."""
         if not self.request.route.resumable or self.splitter.last_id is None:
             return failure
-        while self._may_try_again(failure):
-            result = self._try_once(self.splitter.last_id)
+        while self._may_retry(failure):
+            result = self._attempt_once(self.splitter.last_id)
             if isinstance(result, AnswerHead):
                 logger.info(
                     "Stream of %s goes on after %s.", self.request.id, self.splitter.last_id
@@ -330,15 +333,15 @@
     def _may_repeat(self) -> bool:
         return self.request.route.is_repeatable
 
-    def _may_try_again(self, failure: Failure) -> bool:
-        """Return whether another upstream may get the request after this failure."""
+    def _may_retry(self, failure: Failure) -> bool:
+        """Return whether the request may be retried at another upstream after this failure."""
         if failure.code in FINAL_CODES:
             return False
         if failure.ran is not Ran.NOT_RUN and not self._may_repeat():
             return False
         if self._sent_count == 0 or self._sent_count >= self.request.route.upstreams_max:
             return False
-        if self.request.remaining_s < LEAST_REMAINING_S:
+        if self.request.remaining_s < REMAINING_MIN_S:
             return False
         return self.forwarder.budget.take()
 
@@ -351,16 +354,16 @@
         self.attempt.finish(failed)
 
     def finish(self) -> None:
-        """End the request wherever it is; an answer that was not read whole is closed."""
+        """End the request at any stage; an incomplete answer's connection is closed."""
         if self.attempt is not None:
-            self.attempt.finish(True if self._was_silent() else None)
+            self.attempt.finish(True if self._was_unresponsive() else None)
 
-    def _was_silent(self) -> bool:
-        """Return whether the upstream gave nothing for far longer than it should have taken."""
+    def _was_unresponsive(self) -> bool:
+        """Return whether the upstream sent nothing for far longer than expected."""
         sent_at = self.attempt.sent_at
         if sent_at is None or self.trace.first_s is not None:
             return False
-        silent_s = clocks.now_s() - sent_at
-        # By the target alone a large prompt counts against whatever reads it.
-        due_s = max(self.request.route.target_latency_s, self.attempt.choice.first_s)
-        return silent_s > SILENT_FACTOR * due_s
+        waited_s = clocks.now_s() - sent_at
+        # By the target alone, a large prompt would count against any upstream that reads it.
+        expected_s = max(self.request.route.target_latency_s, self.attempt.choice.first_s)
+        return waited_s > UNRESPONSIVE_FACTOR * expected_s
--- a/libs/serving/ruddersaddle_serving/tests/test_event_streams.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_event_streams.py
@@ -1,4 +1,4 @@
-"""Tests of splitting a stream into whole events."""
+"""Tests of splitting a stream into complete events."""
 
 import unittest
 
@@ -13,24 +13,24 @@
 class EventSplitterTest(unittest.TestCase):
     @DRAWN
     @given(strategies.lists(strategies.integers(0, len(STREAM)), max_size=8))
-    def test_any_cut_gives_the_same_whole_events(self, cuts: list[int]) -> None:
+    def test_chunk_boundaries_do_not_change_the_events(self, cuts: list[int]) -> None:
         splitter = EventSplitter()
         places = [0, *sorted(cuts), len(STREAM)]
         out = b"".join(
-            splitter.take(STREAM[start:end]) for start, end in zip(places, places[1:], strict=False)
+            splitter.feed(STREAM[start:end]) for start, end in zip(places, places[1:], strict=False)
         )
         self.assertEqual((out, splitter.last_id, splitter.events), (STREAM, "5", 5))
 
-    def test_torn_event_is_held_back_and_dropped(self) -> None:
+    def test_partial_event_is_buffered_and_discarded(self) -> None:
         splitter = EventSplitter()
-        self.assertEqual(splitter.take(b"id: 1\n\nid: 2\nda"), b"id: 1\n\n")
+        self.assertEqual(splitter.feed(b"id: 1\n\nid: 2\nda"), b"id: 1\n\n")
         self.assertFalse(splitter.is_between_events)
-        splitter.drop_rest()
-        self.assertEqual(splitter.take(b"id: 2\n\n"), b"id: 2\n\n")
+        splitter.discard_partial()
+        self.assertEqual(splitter.feed(b"id: 2\n\n"), b"id: 2\n\n")
         self.assertEqual(splitter.last_id, "2")
 
-    def test_line_ends_of_two_bytes_count_too(self) -> None:
-        self.assertEqual(EventSplitter().take(b"id: 7\r\n\r\nx"), b"id: 7\r\n\r\n")
+    def test_crlf_line_ends_are_accepted(self) -> None:
+        self.assertEqual(EventSplitter().feed(b"id: 7\r\n\r\nx"), b"id: 7\r\n\r\n")
 
 
 if __name__ == "__main__":
--- a/libs/serving/ruddersaddle_serving/tests/test_forwarders.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_forwarders.py
@@ -1,4 +1,4 @@
-"""Tests of how a request is forwarded, and of what counts against its upstream."""
+"""Tests of forwarding requests, and of what counts as a failure of the upstream."""
 
 import unittest
 from unittest import mock
@@ -28,12 +28,12 @@
         patch = mock.patch.object(clocks, "now_s", lambda: self.now)
         patch.start()
         self.addCleanup(patch.stop)
-        self.asked: list[bool] = []
-        """Whether each choice might refuse the request."""
+        self.may_refuse_calls: list[bool] = []
+        """`may_refuse` of each call of `choose`."""
         self.placement = mock.Mock(choose=self.choose)
 
     def choose(self, request, pool, excluded, may_refuse: bool) -> Choice:
-        self.asked.append(may_refuse)
+        self.may_refuse_calls.append(may_refuse)
         return Choice(mock.Mock(), 1, None, 1)
 
     def make_forwarding(self) -> Forwarding:
@@ -50,20 +50,20 @@
         )
         return Forwarding(forwarder, request)
 
-    def test_only_a_request_of_which_nothing_was_sent_may_be_refused(self) -> None:
+    def test_request_may_be_refused_only_before_anything_was_sent(self) -> None:
         forwarding = self.make_forwarding()
         forwarding._choose()
         forwarding._sent_count = 1
         forwarding._choose()
-        self.assertEqual(self.asked, [True, False])
+        self.assertEqual(self.may_refuse_calls, [True, False])
 
-    def test_request_is_chosen_for_at_once(self) -> None:
+    def test_choice_does_not_wait(self) -> None:
         with mock.patch("eventlet.sleep") as sleep:
             self.assertIsInstance(self.make_forwarding()._choose(), Choice)
         sleep.assert_not_called()
 
-    def silent_after(self, seconds: float, predicted_s: float) -> bool:
-        """Return whether an upstream counts as silent that sent nothing for so long."""
+    def is_unresponsive_after(self, seconds: float, predicted_s: float) -> bool:
+        """Return whether an upstream that sent nothing for this long counts as unresponsive."""
         forwarding = self.make_forwarding()
         choice = Choice(mock.Mock(), 1, None, 1, first_s=predicted_s)
         forwarding.attempt = mock.Mock(choice=choice, sent_at=self.now)
@@ -71,14 +71,14 @@
         forwarding.finish()
         return forwarding.attempt.finish.call_args.args[0] is True
 
-    def test_upstream_is_silent_only_long_after_it_was_predicted_to_answer(self) -> None:
-        """A large prompt that takes four targets to read counted against whatever read it."""
-        self.assertTrue(self.silent_after(3.2 * TARGET_S, predicted_s=0.2))
-        self.assertFalse(self.silent_after(3.2 * TARGET_S, predicted_s=4.0 * TARGET_S))
-        self.assertTrue(self.silent_after(13.0 * TARGET_S, predicted_s=4.0 * TARGET_S))
+    def test_upstream_is_unresponsive_only_long_after_its_predicted_answer(self) -> None:
+        """A large prompt that takes four targets to read counted against its upstream."""
+        self.assertTrue(self.is_unresponsive_after(3.2 * TARGET_S, predicted_s=0.2))
+        self.assertFalse(self.is_unresponsive_after(3.2 * TARGET_S, predicted_s=4.0 * TARGET_S))
+        self.assertTrue(self.is_unresponsive_after(13.0 * TARGET_S, predicted_s=4.0 * TARGET_S))
 
-    def test_request_that_no_upstream_took_a_connection_for_has_not_run(self) -> None:
-        """Seen while a third of the engines came back: callers got a 502 without any promise."""
+    def test_request_without_any_connection_has_not_run(self) -> None:
+        """While a third of the engines restarted, callers got a 502 that did not say "not run"."""
         lost = Failure(Code.UPSTREAM_FAILED, Step.CONNECT, "e", "refused", Ran.NOT_RUN)
         choice = Choice(mock.Mock(in_flight=0), 1, None, 1)
         choice.tracker.connections.open_exchange.return_value = lost
