--- a/libs/serving/ruddersaddle_serving/attempts.py
+++ b/libs/serving/ruddersaddle_serving/attempts.py
@@ -1,4 +1,4 @@
-"""One try of a request at one upstream."""
+"""One attempt of a request at one upstream."""
 
 import itertools
 import logging
@@ -17,17 +17,17 @@
 logger = logging.getLogger(__name__)
 
 _numbers = itertools.count(1)
-"""Numbers of this process's tries, by which other hosts tell them apart."""
+"""Numbers of this process's attempts, by which other hosts identify them."""
 
 NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 """Statuses that promise the caller that its request has not run and never will."""
 REFUSAL_RETRY_AFTER_S = 0.2
-"""When a caller should come back after a refusal of an upstream; what it refuses for (a full queue,
-weights being loaded) passes in some hundred milliseconds, or another upstream takes it."""
+"""Retry delay given to callers after an upstream's refusal: its reasons (a full queue, weights
+being loaded) pass within some hundred milliseconds, or another upstream accepts the request."""
 
 
 class Attempt:
-    """One try; it counts as the upstream's load until it is finished."""
+    """One attempt; counts towards the upstream's load until it is finished."""
 
     def __init__(
         self,
@@ -45,16 +45,16 @@
         self.last_event = last_event
         self.sent_at: float | None = None
         self.exchange: Exchange | None = None
-        self._start = choice.tracker.entry.start
+        self._instance = choice.tracker.entry.start
         choice.tracker.in_flight += 1
         self._finished = False
         self._reach = Reach.NOTHING
-        # It counts from the choice: while a connection came about (1 to 3 ms), all requests of one
-        # moment were sent to the engine that had looked idle to the first of them.
+        # Counted from the choice on, not from the connection: in the 1 to 3 ms that connecting
+        # takes, all concurrent requests would go to the engine that looked idle to the first one.
         self._broadcast(Progress.SENT, assignment=choice.assignment, expected_s=choice.first_s)
 
     def connect(self) -> Failure | None:
-        """Get a connection; nothing is sent yet."""
+        """Get a connection without sending anything."""
         exchange = self.choice.tracker.connections.open_exchange()
         if isinstance(exchange, Failure):
             self.choice.tracker.note_no_connection()
@@ -64,7 +64,7 @@
         return None
 
     def open(self) -> AnswerHead | Failure:
-        """Send the request and return the head of its answer, if it is one for the caller."""
+        """Send the request and return the head of its answer, if the answer is valid."""
         request = self.request
         delivery = Delivery(
             request,
@@ -92,16 +92,16 @@
         return self._check(head)
 
     def _is_from_chosen(self, head: AnswerHead) -> bool:
-        """Return whether the answer is from the upstream that was chosen.
+        """Return whether the answer is from the chosen upstream.
 
-        Another one at its address answers 421.
+        Another upstream at the same address answers 421.
         """
         if head.status == 421:
             return head.upstream == self.choice.tracker.id
         return head.upstream in (None, self.choice.tracker.id)
 
     def _check(self, head: AnswerHead) -> AnswerHead | Failure:
-        """Return the head, or why this answer is not the caller's."""
+        """Return the head, or why this answer must not reach the caller."""
         if head.not_run:
             return self._refusal(head)
         if head.request != self.request.id:
@@ -131,10 +131,10 @@
         )
 
     def _drain_refusal(self) -> None:
-        """Read the refusal's body so that its connection can be used again."""
+        """Read the refusal's body so that its connection can be reused."""
         data = self.exchange.read_all(65536)
         if isinstance(data, Failure):
-            logger.debug("Refusal was not read whole. %s", data.detail)
+            logger.debug("Body of a refusal was not read completely. %s", data.detail)
 
     def _invalid(self, detail: str) -> Failure:
         tracker = self.choice.tracker
@@ -142,20 +142,20 @@
 
     @property
     def is_broken(self) -> bool:
-        """Whether its connection ended before the answer did."""
+        """Whether the connection ended before the answer was complete."""
         return self.exchange is not None and self.exchange.is_broken
 
     def record_first_event(self) -> None:
-        """Take that the prompt was read."""
+        """Record the first event, which shows that the prompt was processed."""
         self._broadcast(Progress.FIRST)
 
     def _broadcast(self, progress: Progress, **more: Any) -> None:
         self.broadcast_notice(
-            Notice(self._start.id, self.number, progress, born_ms=self._start.born_ms, **more)
+            Notice(self._instance.id, self.number, progress, born_ms=self._instance.born_ms, **more)
         )
 
     def finish(self, failed: bool | None) -> None:
-        """End the try; `failed` is None where it says nothing about the upstream."""
+        """End the attempt; `failed` is None if it says nothing about the upstream's health."""
         if self._finished:
             return
         self._finished = True
--- a/libs/serving/ruddersaddle_serving/deferred_timeouts.py
+++ b/libs/serving/ruddersaddle_serving/deferred_timeouts.py
@@ -1,8 +1,8 @@
-"""Timeouts that let what has arrived go first.
+"""Timeouts that are deferred until sockets have been polled.
 
-The event loop fires all timers that are due before it looks at its sockets. After a freeze, or a
-long step of another task, a request or an answer that had arrived in time was dropped for a timer:
-after 1.6 s, 78 of 80 requests, 80 of 80 heads and 80 of 80 answers.
+The event loop fires all due timers before it polls its sockets. After a freeze of the process, or a
+long step of another task, requests and answers that had arrived in time would be dropped by their
+timers: after a freeze of 1.6 s, 78 of 80 requests, 80 of 80 heads and 80 of 80 answers were.
 """
 
 from typing import Any
@@ -12,17 +12,17 @@
 
 
 class DeferredTimeout(eventlet.Timeout):
-    """A timeout that is raised only after the event loop has looked at its sockets once more.
+    """A timeout that is raised only after the event loop has polled its sockets once more.
 
-    Bytes that are there wake their task first, which may end what is timed and cancel this.
+    Bytes that have arrived wake their task first, which may then complete and cancel the timeout.
     """
 
     def start(self) -> "DeferredTimeout":
-        """Begin to count; the library's constructor calls this."""
+        """Start the timer; called by the library's constructor."""
         task = eventlet.getcurrent()
-        self.timer = get_hub().schedule_call_global(self.seconds, self._look_first, task)
+        self.timer = get_hub().schedule_call_global(self.seconds, self._defer, task)
         return self
 
-    def _look_first(self, task: Any) -> None:
-        # A timer set from within a timer is due only after the sockets' turn.
+    def _defer(self, task: Any) -> None:
+        # A timer scheduled by a timer fires only after the sockets were polled.
         self.timer = get_hub().schedule_call_global(0, task.throw, self)
--- a/libs/serving/ruddersaddle_serving/reset_sockets.py
+++ b/libs/serving/ruddersaddle_serving/reset_sockets.py
@@ -1,7 +1,7 @@
-"""Sockets that tell a reset from an orderly end.
+"""Sockets that distinguish a connection reset from an orderly close.
 
 eventlet's green sockets return an empty read for both. An answer without a length ends with its
-connection, so that one which was reset on the way would pass for whole.
+connection, so an answer cut off by a reset would pass for complete.
 """
 
 import fcntl
@@ -22,7 +22,7 @@
     """A green socket whose reads raise `ConnectionResetError`."""
 
     def recv_into(self, buffer: Any, nbytes: int = 0, flags: int = 0) -> int:
-        """Read into a buffer; wait until something has arrived."""
+        """Read into a buffer, waiting until something has arrived."""
         while True:
             try:
                 return self.fd.recv_into(buffer, nbytes, flags)
@@ -32,21 +32,21 @@
 
 
 class UpstreamConnection(HTTPConnection):
-    """A connection of the HTTP library on such a socket."""
+    """A connection of the HTTP library on a `ResetAwareSocket`."""
 
     def _new_conn(self) -> ResetAwareSocket:
-        """Connect; the library calls this for its socket."""
+        """Return a connected socket; called by the library."""
         plain = super()._new_conn()
         aware = ResetAwareSocket(plain.fd)
-        # A green socket closes its descriptor when it is collected, so the plain one has to stay.
+        # The plain socket would close the descriptor when it is collected, so it is referenced.
         aware.plain = plain
         return aware
 
     @property
     def is_idle(self) -> bool:
-        """Whether the connection stands and nothing has arrived on it.
+        """Whether the connection is open and nothing has arrived on it.
 
-        It is asked without waiting: the library's own check lets other tasks run meanwhile, who
+        Checked without yielding: the library's own check lets other tasks run meanwhile, which
         could take the same connection.
         """
         try:
@@ -59,12 +59,12 @@
 
     @property
     def has_unacknowledged_bytes(self) -> bool:
-        """Whether bytes that were sent have not arrived at the other end."""
-        # TIOCOUTQ is the number of SIOCOUTQ, too (tcp(7)).
-        held = fcntl.ioctl(self.sock.fileno(), termios.TIOCOUTQ, bytes(COUNT.size))
-        return COUNT.unpack(held)[0] > 0
+        """Whether bytes that were sent are not acknowledged yet."""
+        # TIOCOUTQ and SIOCOUTQ are the same number (tcp(7)).
+        unacknowledged = fcntl.ioctl(self.sock.fileno(), termios.TIOCOUTQ, bytes(COUNT.size))
+        return COUNT.unpack(unacknowledged)[0] > 0
 
     def set_user_timeout(self, unacknowledged_s: float) -> None:
-        """End the connection when sent bytes are not acknowledged for this long."""
-        bound_ms = max(1, int(unacknowledged_s * MS_PER_S))
-        self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, bound_ms)
+        """Set how long sent bytes may be unacknowledged before the connection is aborted."""
+        timeout_ms = max(1, int(unacknowledged_s * MS_PER_S))
+        self.sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, timeout_ms)
--- a/libs/serving/ruddersaddle_serving/tests/test_attempts.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_attempts.py
@@ -1,4 +1,4 @@
-"""Tests of when a request counts at its engine."""
+"""Tests of when a request counts towards its engine's load."""
 
 import unittest
 from unittest import mock
@@ -25,16 +25,16 @@
         head = CallerHead(RequestId("q"), None, None, None, None, ())
         request = CallerRequest(head, "POST", "/", b"", ROUTE, None, clocks.now_s())
         choice = Choice(self.tracker, 1, None, 1, Assignment("m/1", (), 0.3, 500, 1))
-        self.attempt = Attempt(request, choice, mock.Mock(), None, self.take)
+        self.attempt = Attempt(request, choice, mock.Mock(), None, self.apply_notice)
 
-    def take(self, notice: Notice) -> None:
+    def apply_notice(self, notice: Notice) -> None:
         self.tracker.take_notice("own", notice)
 
-    def test_request_counts_before_its_connection_stands(self) -> None:
-        """Found after engines came back: seven requests of one moment went to one of them."""
+    def test_request_counts_before_it_is_connected(self) -> None:
+        """When it did not, seven concurrent requests went to one engine after a restart."""
         self.assertEqual(wait_s(self.tracker.load, 1, 10, 9000), 0.3)
 
-    def test_request_without_a_connection_counts_no_more(self) -> None:
+    def test_failed_connection_ends_the_count(self) -> None:
         lost = Failure(Code.UPSTREAM_FAILED, Step.CONNECT, "e")
         with mock.patch.object(self.tracker.connections, "open_exchange", return_value=lost):
             self.assertIs(self.attempt.connect(), lost)
--- a/libs/serving/ruddersaddle_serving/tests/test_deferred_timeouts.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_deferred_timeouts.py
@@ -1,4 +1,4 @@
-"""Tests of timeouts that let what has arrived go first."""
+"""Tests of timeouts that are deferred until sockets have been polled."""
 
 import socket
 import unittest
@@ -10,11 +10,11 @@
 
 from ruddersaddle_serving.deferred_timeouts import DeferredTimeout
 
-TIME_S = 0.05
-hold_up = patcher.original("time").sleep
-"""Another module's test may have replaced the usual one by one that lets other tasks run."""
-HELD_S = 0.1
-"""For how long a step holds the event loop up, past the time."""
+TIMEOUT_S = 0.05
+block_loop = patcher.original("time").sleep
+"""The blocking `sleep`, even if another test module has monkey-patched the usual one."""
+BLOCKED_S = 0.1
+"""How long a step blocks the event loop; longer than the timeout."""
 
 
 class DeferredTimeoutTest(unittest.TestCase):
@@ -23,33 +23,33 @@
         self.addCleanup(self.near.close)
         self.addCleanup(self.far.close)
 
-    def send_and_hold(self) -> None:
-        """Send a byte, and hold the event loop up until the time is over."""
+    def send_and_block(self) -> None:
+        """Send a byte, and block the event loop until the timeout is due."""
         self.far.send(b"x")
-        hold_up(HELD_S)
+        block_loop(BLOCKED_S)
 
     def wait(self) -> bool:
         """Return whether a byte came before the timeout."""
-        with DeferredTimeout(TIME_S, False):
+        with DeferredTimeout(TIMEOUT_S, False):
             trampoline(self.near.fileno(), read=True)
             return True
         return False
 
-    def test_byte_that_has_arrived_goes_first(self) -> None:
-        eventlet.spawn(self.send_and_hold)
+    def test_byte_that_has_arrived_prevents_the_timeout(self) -> None:
+        eventlet.spawn(self.send_and_block)
         self.assertTrue(self.wait())
-        eventlet.sleep(TIME_S)
+        eventlet.sleep(TIMEOUT_S)
 
-    def test_time_ends_where_nothing_arrives(self) -> None:
+    def test_timeout_is_raised_if_nothing_arrives(self) -> None:
         began = clocks.now_s()
         self.assertFalse(self.wait())
-        self.assertGreaterEqual(clocks.now_s() - began, TIME_S)
+        self.assertGreaterEqual(clocks.now_s() - began, TIMEOUT_S)
 
-    def test_cancelled_between_its_two_steps_it_is_not_raised(self) -> None:
-        timeout = DeferredTimeout(TIME_S)
-        eventlet.spawn_after(TIME_S + 0.001, timeout.cancel)
-        eventlet.spawn(hold_up, HELD_S)
-        eventlet.sleep(HELD_S * 2)
+    def test_timeout_cancelled_while_deferred_is_not_raised(self) -> None:
+        timeout = DeferredTimeout(TIMEOUT_S)
+        eventlet.spawn_after(TIMEOUT_S + 0.001, timeout.cancel)
+        eventlet.spawn(block_loop, BLOCKED_S)
+        eventlet.sleep(BLOCKED_S * 2)
         self.assertFalse(timeout.pending)
 
 
--- a/libs/serving/ruddersaddle_serving/tests/test_upstream_connections.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_upstream_connections.py
@@ -1,10 +1,10 @@
-"""Tests of connections that are kept between requests."""
+"""Tests of connections that are reused between requests."""
 
 import eventlet
 
 eventlet.monkey_patch()
 
-# The library's sockets have to be green, as they are in the program.
+# The library's sockets have to be green, as in the program.
 import socket  # noqa: E402
 import unittest  # noqa: E402
 
@@ -31,45 +31,45 @@
         while True:
             self.accepted.append(self.listener.accept()[0])
 
-    def keep_one(self) -> Exchange:
-        """Open a connection and keep it, as after a whole answer."""
+    def release_one(self) -> Exchange:
+        """Open a connection and release it, as after a complete answer."""
         exchange = self.pool.open_exchange()
         self.assertIsInstance(exchange, Exchange)
         eventlet.sleep(0.02)
         self.pool.release(exchange.connection, None)
         return exchange
 
-    def test_kept_connection_is_used_again(self) -> None:
-        kept = self.keep_one()
-        self.assertIs(self.pool.open_exchange().connection, kept.connection)
+    def test_released_connection_is_reused(self) -> None:
+        released = self.release_one()
+        self.assertIs(self.pool.open_exchange().connection, released.connection)
 
-    def test_connection_that_falls_silent_is_given_up_by_the_system(self) -> None:
-        """Probes and the bound on unacknowledged bytes find it; nothing here has to be sent."""
-        sock = self.keep_one().connection.sock.fd
+    def test_unresponsive_connection_is_aborted_by_the_kernel(self) -> None:
+        """Keep-alive probes and the TCP user timeout detect it without sending anything."""
+        sock = self.release_one().connection.sock.fd
         found = [sock.getsockopt(level, name) for level, name, _ in LIVENESS_OPTIONS]
         self.assertEqual(found, [3000, 1, 1, 1, 2])
 
-    def test_connection_in_use_is_not_taken_by_housekeeping(self) -> None:
-        """Found on a grown site: the check yielded, so both held one connection at once."""
-        kept = self.keep_one()
-        tidying = eventlet.spawn(self.pool.close_expired)
+    def test_maintenance_does_not_take_a_connection_in_use(self) -> None:
+        """When the idle check yielded, maintenance and a request held one connection at once."""
+        released = self.release_one()
+        maintenance = eventlet.spawn(self.pool.close_expired)
         eventlet.sleep(0)
         taken = self.pool.open_exchange()
-        tidying.wait()
-        self.assertIs(taken.connection, kept.connection)
-        self.assertIsNot(self.pool.open_exchange().connection, kept.connection)
+        maintenance.wait()
+        self.assertIs(taken.connection, released.connection)
+        self.assertIsNot(self.pool.open_exchange().connection, released.connection)
 
-    def test_connection_on_which_something_arrived_is_closed(self) -> None:
-        kept = self.keep_one()
+    def test_connection_with_unread_bytes_is_not_reused(self) -> None:
+        released = self.release_one()
         self.accepted[0].sendall(b"late answer")
         eventlet.sleep(0.02)
-        self.assertIsNot(self.pool.open_exchange().connection, kept.connection)
+        self.assertIsNot(self.pool.open_exchange().connection, released.connection)
 
-    def test_connection_that_the_upstream_closed_is_not_used(self) -> None:
-        kept = self.keep_one()
+    def test_connection_closed_by_the_upstream_is_not_reused(self) -> None:
+        released = self.release_one()
         self.accepted[0].close()
         eventlet.sleep(0.02)
-        self.assertIsNot(self.pool.open_exchange().connection, kept.connection)
+        self.assertIsNot(self.pool.open_exchange().connection, released.connection)
 
 
 if __name__ == "__main__":
--- a/libs/serving/ruddersaddle_serving/upstream_connections.py
+++ b/libs/serving/ruddersaddle_serving/upstream_connections.py
@@ -1,7 +1,7 @@
 """Connections to upstreams for callers' requests, kept open between requests.
 
-A connection is used again only after a whole answer to the right request was read from it, and only
-while nothing has arrived on it since: what arrives on an idle connection belongs to no request.
+A connection is reused only after a complete answer to the right request was read from it, and only
+while nothing has arrived on it since: bytes on an idle connection belong to no request.
 """
 
 import socket
@@ -11,7 +11,7 @@
 from ruddersaddle_base import clocks
 from ruddersaddle_base.failures import Code, Failure, Ran, Step
 from urllib3.exceptions import HTTPError, ProtocolError
-from urllib3.exceptions import TimeoutError as TimeoutErrorOfLibrary
+from urllib3.exceptions import TimeoutError as LibraryTimeoutError
 from urllib3.response import BaseHTTPResponse
 from urllib3.util import SKIP_HEADER
 
@@ -20,32 +20,33 @@
 from ruddersaddle_serving.silent_peers import LIVENESS_OPTIONS, UNACKNOWLEDGED_MS
 
 CONNECT_TIMEOUT_S = 0.35
-"""Longest wait for a connection. Upstreams take one in a few milliseconds; a host that gets no
-processor for a moment must not take its own pause for theirs. 0.15 s served no more callers where
-hosts share which upstreams are silent (replay with a quarter of the engines dark)."""
+"""Upstreams accept a connection within a few milliseconds; the timeout is much longer so that a
+host that is not scheduled for a moment doesn't blame the upstream for its own pause. 0.15 s served
+no more callers with a quarter of the engines down, as hosts share which upstreams are
+unresponsive."""
 IDLE_TIMEOUT_S = 4.0
-"""Idle connections are kept this long where the upstream names no time of its own."""
+"""Keep-alive time of idle connections if the upstream states none."""
 IDLE_MARGIN_S = 1.0
-"""An idle connection is left alone this long before the upstream would close it."""
+"""An idle connection is no longer reused this long before the upstream would close it."""
 IDLE_MAX = 32
-"""Idle connections kept for each address."""
+"""Largest number of idle connections for each address."""
 READ_BYTES = 65536
-LONG_BODY = 65536
-"""Bodies over this size, in bytes, may have to wait until the upstream reads: it is the room that
-Linux offers on a new connection."""
+LONG_BODY_BYTES = 65536
+"""Larger bodies may block until the upstream reads: this is the receive window that Linux offers on
+a new connection."""
 UNACKNOWLEDGED_S = UNACKNOWLEDGED_MS / 1000
 SOCKET_OPTIONS = [(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1), *LIVENESS_OPTIONS]
 ERRORS = (HTTPError, HTTPException, OSError, ValueError)
-BREAKS = (ConnectionError, TimeoutError)
-"""Ends of a connection; what arrived before can still be read."""
-ENDS = (ProtocolError, HTTPException, OSError)
-"""Ends of a connection in the middle of an exchange, as the library tells them."""
-TIMEOUTS = (TimeoutError, TimeoutErrorOfLibrary)
+SEND_BREAK_ERRORS = (ConnectionError, TimeoutError)
+"""Errors of sending after which an answer that arrived before can still be read."""
+CONNECTION_LOST_ERRORS = (ProtocolError, HTTPException, OSError)
+"""Errors that the HTTP library raises if a connection ends in the middle of an exchange."""
+TIMEOUTS = (TimeoutError, LibraryTimeoutError)
 SKIPPED = {"User-Agent": SKIP_HEADER, "Accept-Encoding": SKIP_HEADER}
 
 
 class IdleConnection:
-    """A connection that waits for its next request."""
+    """A connection kept for a later request."""
 
     def __init__(self, connection: UpstreamConnection, until: float) -> None:
         self.connection = connection
@@ -53,7 +54,7 @@
 
     @property
     def is_usable(self) -> bool:
-        """Whether it is young enough and nothing has arrived on it."""
+        """Whether its keep-alive time has not passed and nothing has arrived on it."""
         return clocks.now_s() < self.until and self.connection.is_idle
 
 
@@ -67,10 +68,10 @@
         self.head: AnswerHead | None = None
         self.is_complete = False
         self.is_broken = False
-        """Whether the connection ended before the answer did, other than by a time-out."""
+        """Whether the connection ended before the answer was complete, other than by a timeout."""
         self._is_long = False
-        self._break: Exception | None = None
-        """What ended the sending early."""
+        self._send_error: Exception | None = None
+        """The error that ended sending early."""
 
     def send(
         self,
@@ -82,7 +83,7 @@
     ) -> Failure | None:
         """Send the request; after a failure it may have run.
 
-        An upstream may read a long body late: the request's own time bounds how late.
+        How late an upstream may read a long body is bounded by the request's remaining time.
         """
         sent = {
             name: value for name, value in SKIPPED.items() if name.lower() not in _names(headers)
@@ -90,24 +91,24 @@
         sent.update(headers)
         data = body if body or method not in ("GET", "HEAD", "DELETE") else None
         try:
-            self._allow_for(body, remaining_s)
+            self._allow_slow_upload(body, remaining_s)
             self.connection.request(
                 method, target, data, sent, preload_content=False, decode_content=False
             )
-        except BREAKS as error:
-            # Upstreams may answer and close before they have read all: a 413 was lost here.
-            self._break = error
+        except SEND_BREAK_ERRORS as error:
+            # An upstream may answer (a 413, say) and close before it has read all; keep its answer.
+            self._send_error = error
         except ERRORS as error:
             return self._fail(Step.SEND, error)
         return None
 
-    def _allow_for(self, body: bytes, remaining_s: float) -> None:
-        """Let a long body wait for its upstream.
+    def _allow_slow_upload(self, body: bytes, remaining_s: float) -> None:
+        """Extend the TCP user timeout for a long body.
 
-        TCP counts what waits before a full window as not acknowledged, too: upstreams that read
-        nothing for 5 s were given up after 3.2 s.
+        TCP counts bytes waiting for a full receive window as unacknowledged, too: connections to
+        upstreams that read nothing for 5 s were aborted after 3.2 s.
         """
-        self._is_long = len(body) > LONG_BODY
+        self._is_long = len(body) > LONG_BODY_BYTES
         if self._is_long:
             self.connection.set_user_timeout(max(remaining_s, UNACKNOWLEDGED_S))
 
@@ -116,16 +117,16 @@
         try:
             self.raw = self.connection.getresponse()
         except ERRORS as error:
-            return self._fail(Step.READ, self._break or error)
-        if self._break is not None and not self._is_delimited:
-            # Its end would look the same as the break.
-            return self._fail(Step.SEND, self._break)
+            return self._fail(Step.READ, self._send_error or error)
+        if self._send_error is not None and not self._is_delimited:
+            # Without a length, the answer's end can't be told from the lost connection.
+            return self._fail(Step.SEND, self._send_error)
         headers = tuple((name, value) for name, value in self.raw.headers.items())
         self.head = wire.read_answer(self.raw.status, headers)
         return self.head
 
     def read_some(self) -> bytes | Failure:
-        """Return bytes of the body as they arrive; empty at its end."""
+        """Return bytes of the body as they arrive; empty at the end."""
         try:
             data = self.raw.read1(READ_BYTES, decode_content=False)
         except ERRORS as error:
@@ -135,7 +136,7 @@
         return data
 
     def read_all(self, bytes_max: int) -> bytes | Failure:
-        """Return the whole body."""
+        """Return the complete body."""
         parts: list[bytes] = []
         size = 0
         while True:
@@ -150,31 +151,33 @@
             parts.append(data)
 
     def finish(self) -> None:
-        """Keep the connection if its answer was read whole, or close it."""
-        if not self.is_complete or not self._may_be_kept():
+        """Release the connection for reuse if its answer was read completely, else close it."""
+        if not self.is_complete or not self._is_reusable():
             self.connection.close()
             return
         if self._is_long:
             self.connection.set_user_timeout(UNACKNOWLEDGED_S)
         self.pool.release(self.connection, self.head.keep_alive_s)
 
-    def _may_be_kept(self) -> bool:
-        if self.raw is None or self.raw.version != 11 or self._break is not None:
+    def _is_reusable(self) -> bool:
+        if self.raw is None or self.raw.version != 11 or self._send_error is not None:
             return False
         if "close" in self.raw.headers.get("Connection", "").lower() or not self._is_delimited:
             return False
-        # An upstream may answer first and read on later; a next request would wait behind the body.
+        # An upstream may answer before it has read the body; a next request would queue behind it.
         return not (self._is_long and self.connection.has_unacknowledged_bytes)
 
     @property
     def _is_delimited(self) -> bool:
-        """Whether the answer itself says where it ends."""
+        """Whether the answer is framed by a length or by chunks."""
         headers = self.raw.headers
         sized = headers.get("Content-Length") is not None
         return sized or headers.get("Transfer-Encoding", "").lower() == "chunked"
 
     def _fail(self, step: Step, error: Exception) -> Failure:
-        self.is_broken = isinstance(error, ENDS) and not isinstance(error, TIMEOUTS)
+        self.is_broken = isinstance(error, CONNECTION_LOST_ERRORS) and not isinstance(
+            error, TIMEOUTS
+        )
         detail = f"{type(error).__name__}: {error}"
         return Failure(Code.UPSTREAM_FAILED, step, self.pool.address, detail, Ran.UNKNOWN)
 
@@ -211,21 +214,21 @@
             detail = f"{type(error).__name__}: {error}"
             return Failure(Code.UPSTREAM_FAILED, Step.CONNECT, self.address, detail, Ran.NOT_RUN)
         self.opened += 1
-        # Bounds on the answer are the request's own; it raises into whoever waits here.
+        # The wait for the answer is bounded by the request's own timeout, raised into this task.
         connection.timeout = None
         return Exchange(self, connection)
 
     def release(self, connection: UpstreamConnection, idle_s: float | None) -> None:
-        """Keep a connection for the next request."""
-        kept_s = IDLE_TIMEOUT_S if idle_s is None else idle_s
-        if kept_s <= IDLE_MARGIN_S or len(self._idle) >= IDLE_MAX:
+        """Keep a connection for a later request, or close it."""
+        keep_alive_s = IDLE_TIMEOUT_S if idle_s is None else idle_s
+        if keep_alive_s <= IDLE_MARGIN_S or len(self._idle) >= IDLE_MAX:
             connection.close()
             return
-        until = clocks.now_s() + kept_s - IDLE_MARGIN_S
+        until = clocks.now_s() + keep_alive_s - IDLE_MARGIN_S
         self._idle.append(IdleConnection(connection, until))
 
     def close_expired(self) -> None:
-        """Close idle connections that are too old."""
+        """Close idle connections that are no longer usable."""
         usable = [idle for idle in self._idle if idle.is_usable]
         for idle in set(self._idle) - set(usable):
             idle.connection.close()
