--- a/libs/serving/ruddersaddle_serving/fronts.py
+++ b/libs/serving/ruddersaddle_serving/fronts.py
@@ -1,4 +1,4 @@
-"""The callers' side of a host: takes requests, finds route and workspace, answers."""
+"""The caller-facing WSGI application: authenticates and routes requests, and writes answers."""
 
 import logging
 from collections.abc import Callable, Iterable, Iterator
@@ -40,22 +40,22 @@
     Code.UPSTREAM_FAILED: 502,
     Code.INTERNAL: 502,
 }
-"""Statuses of failures; all others get `NOT_RUN_STATUS`."""
+"""Status by failure code; all other codes get `NOT_RUN_STATUS`."""
 NOT_RUN_STATUS = 503
 """Promises that the request has not run and never will."""
-UNKNOWN_YET_S = 0.5
-"""When to come back to a host that knows no configuration yet; it reads it every 0.3 to 0.6 s."""
-START_LOOK_S = 0.01
-"""Pause of a request between looks whether a start has ended."""
+NOT_READY_RETRY_S = 0.5
+"""Retry delay while a host has no configuration yet; it polls for one every 0.3 to 0.6 s."""
+STARTUP_POLL_S = 0.01
+"""Interval at which a waiting request checks whether the host has finished starting."""
 PUBLIC = "public"
 ANSWERED = "answered"
-"""Outcome of a request whose whole answer was written."""
+"""Outcome of a request whose answer was written completely."""
 NOT_TAKEN = "not taken"
-"""Outcome of a request whose answer could not be written: the connection had failed."""
+"""Outcome of a request whose answer could not be written as the connection had failed."""
 
 
 class RouteTimeout(DeferredTimeout):
-    """Raised into a request whose time, or whose route's time, is over."""
+    """Raised into a request whose deadline, or whose route's timeout, has passed."""
 
 
 class Front:
@@ -73,40 +73,40 @@
         self.forwarder = forwarder
         self.histograms = histograms
         self.draining = False
-        """Whether answers tell callers to open no further request on their connection."""
-        self.visits: set[_Visit] = set()
-        """Requests under way."""
+        """Whether answers ask callers to close their connections, as the host is stopping."""
+        self.exchanges: set[_CallerExchange] = set()
+        """Active requests."""
         self.counts: dict[str, int] = {}
         self.outcome_counts = zero_counts()
-        """Requests that have ended, by kind of end."""
+        """Numbers of ended requests by kind of outcome."""
         self.sizes = SizeCounts()
 
     @property
     def active(self) -> int:
-        """Number of requests under way."""
-        return len(self.visits)
+        """Number of active requests."""
+        return len(self.exchanges)
 
     @property
     def limits(self) -> CallerLimits:
-        """The limits on callers that are in force."""
+        """The limits on callers that are in effect."""
         table = self.publications.table
         return CallerLimits() if table is None else table.published.limits
 
     def __call__(self, environ: dict[str, Any], start: StartResponse) -> Iterable[bytes]:
         """Serve one request."""
-        return _Visit(self, environ, start).run()
+        return _CallerExchange(self, environ, start).run()
 
     def count(self, name: str) -> None:
         """Count an event by name."""
         self.counts[name] = self.counts.get(name, 0) + 1
 
     def active_requests(self) -> list[InterruptedRequest]:
-        """Return the requests that the end of this process would cut."""
-        return [visit.describe() for visit in self.visits]
+        """Return the requests that would be interrupted if this process ended."""
+        return [exchange.describe() for exchange in self.exchanges]
 
 
-class _Visit:
-    """One request of a caller, from its head to the end of its answer."""
+class _CallerExchange:
+    """One caller's request, from its head to the end of its answer."""
 
     def __init__(self, front: Front, environ: dict[str, Any], start: StartResponse) -> None:
         self.front = front
@@ -123,48 +123,50 @@
         self.status = 0
 
     def run(self) -> Iterable[bytes]:
-        """Return the answer; a stream goes on after this has returned."""
-        self.front.visits.add(self)
+        """Return the answer; a stream continues after this has returned."""
+        self.front.exchanges.add(self)
         try:
             request = self._read_request()
             if isinstance(request, Failure):
-                return self._end_with(self._refuse(request))
+                return self._end_after(self._refuse(request))
             self.request = request
             prompt = request.head.prompt
             if prompt is not None:
                 self.size_band = self.front.sizes.take(request.route.name, prompt.tokens)
             return self._forward(request)
         except CallerLeftError:
-            return self._end_with(self._refuse(self._caller_left()), "caller left")
+            return self._end_after(self._refuse(self._caller_left()), "caller left")
         except RouteTimeout as timeout:
             if timeout is not self.timer:
                 raise
-            return self._end_with(self._refuse(self._time_over()))
+            return self._end_after(self._refuse(self._deadline_passed()))
         except Exception:
-            self._note_fault()
+            self._log_fault()
             self._end("failed")
             raise
         except BaseException:
             self._end("ended with its task")
             raise
 
-    def _end_with(self, body: list[bytes], word: str = ANSWERED) -> "_CompleteBody":
-        """Return an answer that is here whole; the request ends once it was written."""
+    def _end_after(self, body: list[bytes], outcome: str = ANSWERED) -> "_CompleteBody":
+        """Return a buffered answer; the request ends once it is written."""
         self._release()
-        return _CompleteBody(body, word, self._note_end)
+        return _CompleteBody(body, outcome, self._finish)
 
-    # What the request is
+    # Reading the request
 
     def _read_request(self) -> CallerRequest | Failure:
         head = self.front.wire.read_caller(self.environ["headers_raw"])
         if isinstance(head, Failure):
             return head
         self.head = head
-        self._await_start()
+        self._await_startup()
         table = self.front.publications.table
         if table is None:
             detail = "no configuration is known yet"
-            return Failure(Code.NOT_READY, Step.ADMIT, "store", detail, retry_after_s=UNKNOWN_YET_S)
+            return Failure(
+                Code.NOT_READY, Step.ADMIT, "store", detail, retry_after_s=NOT_READY_RETRY_S
+            )
         target = self.environ["caller.target"]
         route = table.find(self.environ.get("HTTP_HOST", ""), target.partition("?")[0])
         if route is None:
@@ -178,14 +180,14 @@
         method = self.environ["REQUEST_METHOD"]
         return CallerRequest(head, method, target, body, route, workspace, self.began)
 
-    def _await_start(self) -> None:
-        """Wait while this host has just started, for some hundred milliseconds at most.
+    def _await_startup(self) -> None:
+        """Wait while this host is still starting, for some hundred milliseconds at most.
 
-        Where all hosts start at once callers come to hosts that are not ready; a refusal sent them
-        away for longer than the start took.
+        If all hosts start at once, callers reach hosts that are not ready; refusing them would
+        delay them for longer than the start takes.
         """
         while self.front.publications.is_settling:
-            eventlet.sleep(START_LOOK_S)
+            eventlet.sleep(STARTUP_POLL_S)
 
     def _find_workspace(
         self, table: RouteTable, route: Route, head: CallerHead
@@ -202,7 +204,7 @@
             return read_body(self.environ, table.published.limits.body_bytes)
         return Failure(Code.DEADLINE, Step.PARSE, "caller", "the body did not come in time")
 
-    # Carrying it
+    # Forwarding
 
     def _forward(self, request: CallerRequest) -> Iterable[bytes]:
         self.timer = RouteTimeout(max(0.001, request.remaining_s))
@@ -212,69 +214,70 @@
         self.forwarding = self.front.forwarder.start(request)
         result = self.forwarding.begin()
         if isinstance(result, Failure):
-            return self._end_with(self._refuse(result))
+            return self._end_after(self._refuse(result))
         if isinstance(result, CompleteAnswer):
-            return self._end_with(self._answer(result))
+            return self._end_after(self._answer(result))
         return self._stream(result)
 
-    def _answer(self, whole: CompleteAnswer) -> list[bytes]:
-        headers = [*whole.headers, ("Content-Length", str(len(whole.body)))]
-        self._start(whole.status, headers)
-        return [whole.body]
+    def _answer(self, answer: CompleteAnswer) -> list[bytes]:
+        headers = [*answer.headers, ("Content-Length", str(len(answer.body)))]
+        self._start(answer.status, headers)
+        return [answer.body]
 
     def _stream(self, head: AnswerHead) -> Iterator[bytes]:
         self._start(head.status, list(head.headers))
         return self._events()
 
     def _events(self) -> Iterator[bytes]:
-        word = "ended with its task"
+        outcome = "ended with its task"
         try:
             for data in self.forwarding.events():
                 if isinstance(data, Failure):
-                    word = f"stream broke: {data.detail}"
-                    # Raising ends the connection without the stream's end, so that what the
-                    # caller has cannot pass for a whole answer.
+                    outcome = f"stream broke: {data.detail}"
+                    # Raising closes the connection without the stream's end mark, so that the
+                    # caller can't take a partial answer for a complete one.
                     raise StreamBrokenError(data.detail)
                 yield data
-            word = ANSWERED
+            outcome = ANSWERED
         except CallerLeftError:
-            word = "caller left"
+            outcome = "caller left"
             raise
         except RouteTimeout:
-            word = "time is over"
+            outcome = "time is over"
             raise
         except GeneratorExit:
-            word = self._word_for_close()
+            outcome = self._outcome_of_close()
             raise
         except StreamBrokenError:
             raise
         except Exception:
-            word = "failed"
-            self._note_fault()
+            outcome = "failed"
+            self._log_fault()
             raise
         finally:
-            self._end(word)
+            self._end(outcome)
 
-    def _word_for_close(self) -> str:
-        """Return why the runner closed a stream before its end: writing to the caller failed."""
+    def _outcome_of_close(self) -> str:
+        """Return the outcome of a stream that the server closed as writing to the caller failed."""
         if self.request.remaining_s <= 0:
             return "time is over"
         return "caller left" if self.watch.has_left() else NOT_TAKEN
 
     def _start(self, status: int, headers: list[tuple[str, str]]) -> None:
         self.status = status
-        # A body that was never asked for may still come; no next request could be told from it.
+        # A body that was not asked for may still arrive; it would be taken for the next request.
         if self.front.draining or self.environ["eventlet.input"].should_send_hundred_continue:
             self.environ["caller.protocol"].close_connection = 1
         self.start(f"{status} {responses.get(status, 'Unknown')}", headers)
 
-    def _time_over(self) -> Failure:
+    def _deadline_passed(self) -> Failure:
         return Failure(Code.DEADLINE, Step.READ, "upstream", "the time for the request is over")
 
     def _caller_left(self) -> Failure:
-        """Return what a caller is told that has closed, perhaps its sending side alone.
+        """Return the failure for a caller that has closed its connection.
 
-        The library's 500 told it nothing; before anything was sent it is sure that nothing ran.
+        It may have closed only its sending side and still read the answer. Unlike the library's
+        500, this one says whether the request may have run; before forwarding it has not.
         """
         self.environ["caller.protocol"].close_connection = 1
         detail = "the caller has closed its side of the connection"
@@ -291,22 +294,22 @@
         retry_after_s = failure.retry_after_s if may_come_back else None
         headers += self.front.wire.write_refusal(request, retry_after_s)
         if failure.code is Code.TOO_LARGE or failure.step is Step.PARSE:
-            # What is left of the body can't be told from a next request.
+            # The unread rest of the body would be taken for the next request.
             self.environ["caller.protocol"].close_connection = 1
         self.failure = failure
         self._start(status, headers)
-        # Bytes behind the head of an answer to HEAD would be taken for the next answer.
+        # A body after the head of an answer to HEAD would be taken for the next answer.
         return [] if self.environ["REQUEST_METHOD"] == "HEAD" else [body]
 
-    # The end of it
+    # Ending the request
 
-    def _end(self, word: str) -> None:
-        """Give back what the request holds and write its line."""
+    def _end(self, outcome: str) -> None:
+        """Release the request's resources and log its end."""
         self._release()
-        self._note_end(word)
+        self._finish(outcome)
 
     def _release(self) -> None:
-        """Give back what the request holds, beside its place among those under way."""
+        """Release the request's resources; it stays among the active requests."""
         if self.timer is not None:
             self.timer.cancel()
         if self.watch is not None:
@@ -315,31 +318,31 @@
             self.forwarding.finish()
 
     def describe(self) -> InterruptedRequest:
-        """Return what on-call needs to know of a request that is cut."""
+        """Return what operators need to know about a request that is interrupted."""
         request = None if self.head is None else self.head.id
         route = None if self.request is None else self.request.route.name
         upstream = None if self.forwarding is None else self.forwarding.trace.upstream
         return InterruptedRequest(request, route, upstream, clocks.now_s() - self.began)
 
-    def _note_fault(self) -> None:
+    def _log_fault(self) -> None:
         cut = self.describe()
         fields = {"request": cut.request, "route": cut.route, "upstream": cut.upstream}
         logger.exception("Request failed for a fault of this program.", extra=fields)
 
-    def _note_end(self, word: str) -> None:
-        self.front.visits.discard(self)
-        self._note(word)
+    def _finish(self, outcome: str) -> None:
+        self.front.exchanges.discard(self)
+        self._log_end(outcome)
 
-    def _note(self, word: str) -> None:
+    def _log_end(self, outcome: str) -> None:
         front = self.front
         front.count(f"answers_{self.status or 'none'}")
-        count_outcome(front.outcome_counts, word)
+        count_outcome(front.outcome_counts, outcome)
         if self.size_band is not None:
-            front.sizes.count(self.request.route.name, self.size_band, self._size_end(word))
+            front.sizes.count(self.request.route.name, self.size_band, self._size_outcome(outcome))
         total_s = clocks.now_s() - self.began
         fields: dict[str, Any] = {
             "status": self.status,
-            "outcome": word,
+            "outcome": outcome,
             "total_ms": round(total_s * 1000),
             "configuration": front.publications.version,
             "configuration_age_ms": _milliseconds(front.publications.age_s),
@@ -349,16 +352,16 @@
         if failure is not None:
             fields["reason"] = f"{failure.step.value} at {failure.peer}: {failure.detail}"
         if self.request is not None:
-            self._note_request(fields)
+            self._add_request_fields(fields)
         logger.info("Request ended.", extra=fields)
 
-    def _size_end(self, word: str) -> str:
-        """Return what the end means to the caller: served, or what it was refused or lost for."""
+    def _size_outcome(self, outcome: str) -> str:
+        """Return the result from the caller's view: served, or why it was refused or failed."""
         if self.failure is not None:
             return self.failure.code.value
-        return "served" if word == ANSWERED and self.status < 300 else kind_of_outcome(word)
+        return "served" if outcome == ANSWERED and self.status < 300 else kind_of_outcome(outcome)
 
-    def _note_request(self, fields: dict[str, Any]) -> None:
+    def _add_request_fields(self, fields: dict[str, Any]) -> None:
         request = self.request
         workspace = PUBLIC if request.workspace is None else request.workspace.id
         fields["route"] = request.route.name
@@ -396,18 +399,18 @@
 
 
 class _CompleteBody:
-    """An answer that is here whole; the runner closes it once it was written.
+    """A buffered answer; the server closes it once it was written.
 
-    A planned stop waits for that. Counted as ended before, an answer of which the caller had not
-    read all was cut off by the end of the process.
+    The request ends only then, so that a planned stop waits for it: otherwise the process could
+    exit before the caller has read all of the answer.
     """
 
-    def __init__(self, parts: list[bytes], word: str, note_end: Callable[[str], None]) -> None:
+    def __init__(self, parts: list[bytes], outcome: str, finish: Callable[[str], None]) -> None:
         self.parts = parts
-        self.word = word
-        self.note_end = note_end
+        self.outcome = outcome
+        self.finish = finish
         self.written = False
-        """Whether the runner has come back after the last part, so that writing it did not fail."""
+        """Whether the server has come back after the last part, so that writing it did not fail."""
 
     def __iter__(self) -> Iterator[bytes]:
         yield from self.parts
@@ -415,12 +418,12 @@
 
     def close(self) -> None:
         """End the request."""
-        was_lost = self.word == ANSWERED and not self.written
-        self.note_end(NOT_TAKEN if was_lost else self.word)
+        was_lost = self.outcome == ANSWERED and not self.written
+        self.finish(NOT_TAKEN if was_lost else self.outcome)
 
 
 class StreamBrokenError(Exception):
-    """Raised to end a caller's connection when its stream can't be finished."""
+    """Raised to close a caller's connection if its stream can't be completed."""
 
 
 def _milliseconds(seconds: float) -> int | None:
--- a/libs/serving/ruddersaddle_serving/request_ends.py
+++ b/libs/serving/ruddersaddle_serving/request_ends.py
@@ -1,4 +1,4 @@
-"""How requests end, as counted on the metrics page, and those that the end of a host cuts."""
+"""Outcomes of requests as counted on the metrics page, and requests interrupted by a host's end."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -6,8 +6,8 @@
 import msgspec
 
 LISTED_MAX = 20
-"""Requests named in a line about those that are cut, which stays under about 2 KB."""
-KIND_BY_WORD = {
+"""Interrupted requests listed in a log line, which keeps it under about 2 KB."""
+KIND_BY_OUTCOME = {
     "answered": "answered",
     "caller left": "caller_left",
     "not taken": "not_taken",
@@ -16,11 +16,11 @@
     "failed": "fault",
     "ended with its task": "killed",
 }
-"""Kind of an end by the first words of its outcome; all but the first give no whole answer."""
+"""Kind by the part of an outcome before the colon; only the first is a complete answer."""
 
 
 class InterruptedRequest(msgspec.Struct, frozen=True):
-    """A request under way when its host ends."""
+    """A request that is active when its host ends."""
 
     request: str | None
     route: str | None
@@ -32,24 +32,24 @@
 
 
 def zero_counts() -> dict[str, int]:
-    """Return counts of all kinds, so that each is on the metrics page from the start."""
-    return dict.fromkeys(KIND_BY_WORD.values(), 0)
+    """Return zero counts of all kinds, so that the metrics page shows each from the start."""
+    return dict.fromkeys(KIND_BY_OUTCOME.values(), 0)
 
 
 def kind_of_outcome(outcome: str) -> str:
-    """Return the kind of an end, by the first words of its outcome."""
-    return KIND_BY_WORD.get(outcome.partition(":")[0], "other")
+    """Return the kind of an outcome, given by its part before the colon."""
+    return KIND_BY_OUTCOME.get(outcome.partition(":")[0], "other")
 
 
 def count_outcome(counts: dict[str, int], outcome: str) -> None:
-    """Count the end of one request."""
+    """Count the outcome of one request."""
     kind = kind_of_outcome(outcome)
     counts[kind] = counts.get(kind, 0) + 1
 
 
-def interrupted_fields(cut: Iterable[InterruptedRequest]) -> dict[str, Any]:
-    """Return a log line's fields about requests that are cut: their number, the oldest by name."""
-    oldest = sorted(cut, key=lambda each: -each.ran_s)
+def interrupted_fields(interrupted: Iterable[InterruptedRequest]) -> dict[str, Any]:
+    """Return log fields about interrupted requests: their number, and a list of the oldest."""
+    oldest = sorted(interrupted, key=lambda each: -each.ran_s)
     fields: dict[str, Any] = {"cut": len(oldest)}
     if oldest:
         fields["requests"] = [str(each) for each in oldest[:LISTED_MAX]]
