--- a/libs/serving/ruddersaddle_serving/caller_bodies.py
+++ b/libs/serving/ruddersaddle_serving/caller_bodies.py
@@ -1,4 +1,4 @@
-"""Reads callers' bodies whole, within the size that the configuration allows."""
+"""Reads callers' complete request bodies, up to the size that the configuration allows."""
 
 import re
 from typing import Any, BinaryIO
@@ -6,21 +6,21 @@
 from ruddersaddle_base.failures import Code, Failure, Step
 
 CHUNK_SIZE = re.compile(rb"([0-9A-Fa-f]{1,8})[ \t]*(;[^\r\n]*)?\r\n\Z")
-"""A chunk's size line; more than eight digits is over any limit."""
-LINE_MAX = 4096
+"""A chunk's size line; more than eight digits exceed any limit."""
+LINE_BYTES_MAX = 4096
 TRAILERS_MAX = 64
 
 
 def read_body(environ: dict[str, Any], bytes_max: int) -> bytes | Failure:
-    """Return a request's body, or why it can't be taken."""
+    """Return a request's body, or why it is refused."""
     source = environ["eventlet.input"]
     try:
         if (source.content_length or 0) > bytes_max:
             return _refuse(Code.TOO_LARGE, f"{source.content_length} bytes, at most {bytes_max}")
-        _ask_for_body(source)
+        _send_continue(source)
         if source.chunked_input:
             body = _read_chunks(source.rfile, bytes_max)
-            # The library would look for chunks that were read here already.
+            # Without this the library would try to read the chunks that were read here.
             source.chunk_length = 0
             return body
         return _read_sized(source)
@@ -28,11 +28,11 @@
         return _refuse(Code.BAD_REQUEST, f"the body broke off: {error}")
 
 
-def _ask_for_body(source: Any) -> None:
-    """Tell a caller that waits for "100 Continue" to send its body.
+def _send_continue(source: Any) -> None:
+    """Send "100 Continue" if the caller waits for it before it sends its body.
 
-    The library tells it at its own first read, which chunked bodies pass by; and as long as it
-    means to tell, it closes the connection after the answer without a word.
+    The library sends it at its own first read, which is bypassed for chunked bodies. While it has
+    not been sent, the library closes the connection after the answer without announcing it.
     """
     if not source.should_send_hundred_continue:
         return
@@ -53,7 +53,7 @@
     parts: list[bytes] = []
     total = 0
     while True:
-        match = CHUNK_SIZE.match(file.readline(LINE_MAX))
+        match = CHUNK_SIZE.match(file.readline(LINE_BYTES_MAX))
         if match is None:
             return _refuse(Code.BAD_REQUEST, "a chunk has no size")
         size = int(match.group(1), 16)
@@ -70,7 +70,7 @@
 
 def _skip_trailers(file: BinaryIO) -> bool:
     for _ in range(TRAILERS_MAX):
-        line = file.readline(LINE_MAX)
+        line = file.readline(LINE_BYTES_MAX)
         if line == b"\r\n":
             return True
         if not line.endswith(b"\n"):
--- a/libs/serving/ruddersaddle_serving/caller_listeners.py
+++ b/libs/serving/ruddersaddle_serving/caller_listeners.py
@@ -1,7 +1,7 @@
-"""Listeners that go on taking connections whatever happens to a single one.
+"""Listeners that go on accepting connections after errors.
 
-The library's accept loop ends at the first error, closes every connection that is idle, and closes
-the others after their request; nothing is taken any more.
+The library's accept loop ends at the first error: it closes all idle connections, closes the others
+after their current requests, and accepts no more.
 """
 
 import errno
@@ -18,22 +18,22 @@
 logger = logging.getLogger(__name__)
 
 LISTENER_GONE = frozenset({errno.EBADF, errno.EINVAL, errno.ENOTCONN, errno.ENOTSOCK})
-"""Errors that concern the listener itself; any other one concerns one connection or a shortage that
-may pass (accept(2))."""
+"""Errors of the listener itself; all others concern a single connection or a temporary shortage
+(accept(2))."""
 NO_DESCRIPTORS = frozenset({errno.EMFILE, errno.ENFILE})
 ERROR_PAUSE_S = 0.02
-"""Pause after an error, so that a shortage that lasts leaves the processor to the requests."""
-LOG_PAUSE_S = 5.0
-"""Least time between two lines of one listener about connections that were not taken."""
+"""Pause after an error, so that a lasting shortage doesn't take processor time from requests."""
+LOG_INTERVAL_S = 5.0
+"""Shortest time between two log lines of one listener about refused connections."""
 CONNECTIONS_MAX = 3000
-"""Connections at once, where descriptors allow it."""
+"""Concurrent connections of a listener, if the descriptor limit allows it."""
 CALLERS_SHARE = 0.75
-"""Share of the descriptors that callers' connections may use; the others are for upstreams, the
-store and peers. 3,000 of about 4,000 that a host has."""
+"""Share of the descriptors for callers' connections: 3,000 of the about 4,000 of a host. The others
+are for upstreams, the store and peers."""
 
 
 def connection_limit() -> int:
-    """Return how many connections a listener may hold at once in this process."""
+    """Return how many concurrent connections a listener may have in this process."""
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     if soft == resource.RLIM_INFINITY:
         return CONNECTIONS_MAX
@@ -43,8 +43,8 @@
 class ResilientListener:
     """A listening socket for the library's server; `pool` runs the connections' tasks.
 
-    A connection for which there is no room is closed unread: its caller may go elsewhere at once,
-    and nothing of it has run. Left waiting, it would hold its caller up until its time is over.
+    A connection above the limit is closed unread: its caller can go to another host at once, and
+    nothing has run. If it were left in the backlog, its caller would wait until its deadline.
     """
 
     def __init__(self, listener: GreenSocket, pool: GreenPool) -> None:
@@ -53,32 +53,32 @@
         self.family = listener.family
         self._closed = False
         self._refused = 0
-        self._logged_at = -LOG_PAUSE_S
+        self._logged_at = -LOG_INTERVAL_S
         self._reserve: int | None = None
-        self._take_reserve()
+        self._open_reserve()
 
     def getsockname(self) -> Any:
         """Return the listener's own address."""
         return self.listener.getsockname()
 
     def accept(self) -> tuple[GreenSocket, Any]:
-        """Return the next connection that there is room for."""
+        """Return the next connection within the limit; close those above it."""
         while True:
-            taken = self._try_accept()
-            if taken is None:
+            accepted = self._try_accept()
+            if accepted is None:
                 eventlet.sleep(ERROR_PAUSE_S)
             elif self.pool.free() > 0:
-                return taken
+                return accepted
             else:
-                taken[0].close()
-                self._note_refused("all places are taken")
+                accepted[0].close()
+                self._log_refused("all places are taken")
                 eventlet.sleep(0)
 
     def close(self) -> None:
-        """Take no further connection."""
+        """Stop accepting connections."""
         self._closed = True
         self.listener.close()
-        self._give_reserve()
+        self._close_reserve()
 
     def _try_accept(self) -> tuple[GreenSocket, Any] | None:
         try:
@@ -87,42 +87,42 @@
             if self._closed or error.errno in LISTENER_GONE:
                 raise
             if error.errno in NO_DESCRIPTORS:
-                self._refuse_one()
-            self._note_refused(os.strerror(error.errno or 0))
+                self._refuse_next()
+            self._log_refused(os.strerror(error.errno or 0))
             return None
         except Exception as error:
-            # A fault here (memory that ran out, say) would end the listener for good.
-            self._note_refused(f"{type(error).__name__}: {error}")
+            # An exception here (out of memory, say) would end the listener for good.
+            self._log_refused(f"{type(error).__name__}: {error}")
             return None
 
-    def _refuse_one(self) -> None:
-        """Close the next connection by means of the descriptor that is kept for this."""
-        self._give_reserve()
+    def _refuse_next(self) -> None:
+        """Close the next connection, using the descriptor that is reserved for this."""
+        self._close_reserve()
         try:
             connection, _ = self.listener.fd.accept()
             connection.close()
         except OSError:
-            # Another thread took the descriptor; the connection waits for the next look.
+            # Another thread took the descriptor; the connection waits for the next attempt.
             pass
         finally:
-            self._take_reserve()
+            self._open_reserve()
 
-    def _take_reserve(self) -> None:
+    def _open_reserve(self) -> None:
         try:
             self._reserve = os.open(os.devnull, os.O_RDONLY)
         except OSError:
-            # There is none; connections wait in the backlog then.
+            # No descriptor is free; connections then wait in the backlog.
             self._reserve = None
 
-    def _give_reserve(self) -> None:
+    def _close_reserve(self) -> None:
         if self._reserve is not None:
             os.close(self._reserve)
             self._reserve = None
 
-    def _note_refused(self, reason: str) -> None:
+    def _log_refused(self, reason: str) -> None:
         self._refused += 1
         now = clocks.now_s()
-        if now - self._logged_at < LOG_PAUSE_S:
+        if now - self._logged_at < LOG_INTERVAL_S:
             return
         self._logged_at = now
         logger.warning("Connections were not taken: %s.", reason, extra={"count": self._refused})
--- a/libs/serving/ruddersaddle_serving/caller_protocols.py
+++ b/libs/serving/ruddersaddle_serving/caller_protocols.py
@@ -11,66 +11,66 @@
 from ruddersaddle_serving.routes import CallerLimits
 
 HEAD_BYTES_MAX = 1 << 20
-"""Longest head that is read at all, in bytes; the configuration's limit is checked on what was
-read. The library's own limits (8 KB a line) are below what configurations allow."""
+"""Largest head that is read at all; the configuration's limit is checked after reading. The
+library's own limits (8 KB a line) are below what configurations allow."""
 wsgi.MAX_HEADER_LINE = HEAD_BYTES_MAX
 wsgi.MAX_TOTAL_HEADER_SIZE = HEAD_BYTES_MAX
 
-DIGITS = re.compile(r"[0-9]{1,18}\Z")
-NAME = re.compile(r"[!#$%&'*+\-.^_`|~0-9A-Za-z]+\Z")
-"""A header's name (RFC 9110, 5.6.2)."""
-BAD_REQUEST = b"HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
-TOO_SLOW = b"HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
-TOO_LARGE = (
+CONTENT_LENGTH_PATTERN = re.compile(r"[0-9]{1,18}\Z")
+HEADER_NAME_PATTERN = re.compile(r"[!#$%&'*+\-.^_`|~0-9A-Za-z]+\Z")
+"""A header name (RFC 9110, section 5.6.2)."""
+BAD_REQUEST_ANSWER = b"HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+TIMEOUT_ANSWER = b"HTTP/1.1 408 Request Timeout\r\nConnection: close\r\nContent-Length: 0\r\n\r\n"
+TOO_LARGE_ANSWER = (
     b"HTTP/1.1 431 Request Header Fields Too Large\r\n"
     b"Connection: close\r\nContent-Length: 0\r\n\r\n"
 )
 
 
 class HeadTimeout(DeferredTimeout):
-    """Raised when a caller takes too long for a request's head."""
+    """Raised if a caller takes too long to send a request's head."""
 
 
 class CallerProtocol(HttpProtocol):
     """One connection of a caller."""
 
     minimum_chunk_size = 0
-    """Events are passed on as they come; the runner gathers 4 KB by default."""
+    """Forward events as they arrive; by default, the server buffers 4 KB."""
 
     @property
     def limits(self) -> CallerLimits:
-        """The limits in force now."""
+        """The limits that are in effect now."""
         return self.server.app.limits
 
     def handle_one_request(self) -> None:
-        """Wait for a request within the idle time, then read its head within the head's time."""
+        """Wait for a request within the idle timeout, then its head within the head timeout."""
         if not self._await_request():
             self.close_connection = True
             return
         if self.conn_state[STATE_INDEX] == STATE_IDLE:
-            # Until the library has read a whole line it counts the connection as idle; a planned
-            # stop closed 40 of 40 of which the first bytes had come.
+            # The library counts the connection as idle until it has read a complete line. A planned
+            # stop thus closed 40 of 40 connections whose first bytes had arrived.
             self.conn_state[STATE_INDEX] = STATE_REQUEST
         self._head_timer = HeadTimeout(self.limits.header_timeout_s)
         try:
             super().handle_one_request()
         except HeadTimeout:
-            self._refuse(TOO_SLOW)
+            self._refuse(TIMEOUT_ANSWER)
         finally:
             self._head_timer.cancel()
 
     def _await_request(self) -> bool:
-        """Return whether a byte of a next request arrived."""
+        """Return whether the first byte of a request arrived."""
         try:
             with DeferredTimeout(self.limits.idle_timeout_s, False):
                 return bool(self.rfile.peek(1))
         except (OSError, ValueError):
-            # The connection was reset, or was closed by a planned stop.
+            # The connection was reset, or closed by a planned stop.
             pass
         return False
 
     def parse_request(self) -> bool:
-        """Parse the head; refuse what two parties might frame differently."""
+        """Parse the head; refuse requests with ambiguous framing (request smuggling)."""
         if not super().parse_request():
             return False
         self._head_timer.cancel()
@@ -82,23 +82,28 @@
 
     def _find_refusal(self) -> bytes | None:
         if self.headers.defects or not self.path.startswith("/"):
-            return BAD_REQUEST
+            return BAD_REQUEST_ANSWER
         size = len(self.raw_requestline)
         for name, value in self.headers.items():
             size += len(name) + len(value) + 4
-            if not NAME.match(name) or "\r" in value or "\n" in value or "\0" in value:
-                return BAD_REQUEST
+            if (
+                not HEADER_NAME_PATTERN.match(name)
+                or "\r" in value
+                or "\n" in value
+                or "\0" in value
+            ):
+                return BAD_REQUEST_ANSWER
         if size > self.limits.header_bytes:
-            return TOO_LARGE
-        return None if self._has_one_framing() else BAD_REQUEST
+            return TOO_LARGE_ANSWER
+        return None if self._is_framing_unambiguous() else BAD_REQUEST_ANSWER
 
-    def _has_one_framing(self) -> bool:
-        """Return whether the body's length is said once and without doubt (RFC 9112, 6)."""
+    def _is_framing_unambiguous(self) -> bool:
+        """Return whether the body's length is stated once and clearly (RFC 9112, section 6)."""
         lengths = self.headers.get_all("content-length", [])
         encodings = self.headers.get_all("transfer-encoding", [])
         if len(lengths) > 1 or len(encodings) > 1 or (lengths and encodings):
             return False
-        if lengths and not DIGITS.match(lengths[0]):
+        if lengths and not CONTENT_LENGTH_PATTERN.match(lengths[0]):
             return False
         return not encodings or encodings[0].strip().lower() == "chunked"
 
@@ -108,11 +113,11 @@
             self.wfile.write(answer)
             self.wfile.flush()
         except OSError:
-            # The caller is gone; there is nobody to tell.
+            # The caller has disconnected.
             return
 
     def get_environ(self) -> dict[str, object]:
-        """Add what the front needs: the target as it was sent, the connection, the time."""
+        """Add what the front needs: the target as sent, the connection, the start time."""
         environ = super().get_environ()
         environ["caller.target"] = self.path
         environ["caller.connection"] = self.connection
@@ -121,8 +126,8 @@
         return environ
 
     def send_error(self, code: int, message: str | None = None, explain: str | None = None) -> None:
-        """Answer a head that can't be parsed, without the library's page."""
-        self._refuse(TOO_LARGE if code == 431 else BAD_REQUEST)
+        """Answer a head that can't be parsed, without the library's error page."""
+        self._refuse(TOO_LARGE_ANSWER if code == 431 else BAD_REQUEST_ANSWER)
 
     def log_message(self, format: str, *args: object) -> None:  # noqa: A002
-        """Drop the library's own log lines; requests are logged by the front."""
+        """Discard the library's own log lines; requests are logged by the front."""
--- a/libs/serving/ruddersaddle_serving/caller_watches.py
+++ b/libs/serving/ruddersaddle_serving/caller_watches.py
@@ -1,4 +1,4 @@
-"""Notices that a caller has closed its connection while its request is under way."""
+"""Detects callers that close their connections while their requests are active."""
 
 import socket
 
@@ -7,14 +7,14 @@
 
 
 class CallerLeftError(Exception):
-    """Raised into the task of a request whose caller has closed the connection."""
+    """Raised into a request's task when its caller has closed the connection."""
 
 
 class CallerWatch:
     """Watches one connection during one request.
 
-    eventlet lets one task wait for a socket, so the watch ends before the next request is read.
-    Bytes that arrive early belong to the next request and are no close.
+    eventlet lets only one task wait for a socket, so the watch ends before the next request is
+    read. Bytes that arrive during the watch belong to the next request and don't count as a close.
     """
 
     def __init__(self, connection: socket.socket) -> None:
@@ -24,10 +24,10 @@
         self._task = eventlet.spawn(self._run)
 
     def has_left(self) -> bool:
-        """Return whether the connection is closed, without waiting.
+        """Return whether the caller has closed the connection, without waiting.
 
-        A host that was frozen reads requests of callers who gave up long before; none of them
-        should reach an upstream.
+        After a freeze, a host reads requests of callers that gave up long before; these must not
+        reach an upstream.
         """
         raw = getattr(self.connection, "fd", self.connection)
         try:
@@ -41,7 +41,7 @@
         try:
             trampoline(self.connection.fileno(), read=True)
         except (OSError, ValueError):
-            # The connection was closed under the watch.
+            # The connection was closed during the watch.
             pass
         if self.has_left():
             get_hub().schedule_call_global(0, self._raise)
@@ -52,6 +52,6 @@
             self._handler.throw(CallerLeftError())
 
     def stop(self) -> None:
-        """End the watch; nothing is raised any more."""
+        """End the watch; nothing is raised afterwards."""
         self._active = False
         self._task.kill()
--- a/libs/serving/ruddersaddle_serving/tests/test_caller_listeners.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_caller_listeners.py
@@ -1,4 +1,4 @@
-"""Tests of listeners: errors of accepting, and connections for which there is no room."""
+"""Tests of listeners: errors of accept, and connections above the limit."""
 
 import errno
 import socket
@@ -11,7 +11,7 @@
 
 from ruddersaddle_serving.caller_listeners import LISTENER_GONE, ResilientListener
 
-PASSING = (
+TRANSIENT_ERRORS = (
     errno.ECONNABORTED,
     errno.ECONNRESET,
     errno.EPROTO,
@@ -44,13 +44,13 @@
         with eventlet.Timeout(WAIT_S):
             taken, _ = self.listener.accept()
         self.addCleanup(taken.close)
-        # A green socket closes its descriptor when it is collected.
+        # A green socket closes its descriptor when it is collected, so it is referenced.
         self.taken.append(taken)
         return taken
 
     def fail_first(self, numbers: tuple[int, ...]) -> Any:
-        """Let the listener's first calls raise these errors."""
-        errors = [OSError(number, "as drawn") for number in numbers]
+        """Let the first calls of accept raise these errors."""
+        errors = [OSError(number, "injected") for number in numbers]
         accept = self.plain.accept
 
         def raise_or_accept() -> Any:
@@ -60,10 +60,10 @@
 
         return mock.patch.object(self.plain, "accept", raise_or_accept)
 
-    def test_errors_of_single_connections_and_shortages_end_nothing(self) -> None:
-        for number in PASSING:
+    def test_listener_survives_connection_errors_and_shortages(self) -> None:
+        for number in TRANSIENT_ERRORS:
             with self.subTest(errno.errorcode[number]), self.fail_first((number,)):
-                # Where descriptors are short, one connection that waits is refused.
+                # Without free descriptors, one waiting connection is refused.
                 short = number in (errno.EMFILE, errno.ENFILE)
                 refused = self.call() if short else None
                 if refused is not None:
@@ -73,16 +73,16 @@
                 self.assertEqual(self.accept().getpeername(), caller.getsockname())
 
     def answer_refused(self, caller: GreenSocket) -> bytes:
-        """Accept while the first connection is refused; return what that one reads."""
+        """Accept while the first connection is refused; return what its caller reads."""
         task = eventlet.spawn(self.accept)
         data = caller.recv(1)
         second = self.call()
         self.assertEqual(task.wait().getpeername(), second.getsockname())
         return data
 
-    def test_fault_of_the_program_ends_nothing(self) -> None:
+    def test_listener_survives_unexpected_exceptions(self) -> None:
         accept = self.plain.accept
-        faults = [MemoryError("none left"), ValueError("unforeseen")]
+        faults = [MemoryError("out of memory"), ValueError("unexpected")]
 
         def raise_or_accept() -> Any:
             if faults:
@@ -93,16 +93,16 @@
             caller = self.call()
             self.assertEqual(self.accept().getpeername(), caller.getsockname())
 
-    def test_error_of_the_listener_itself_ends_accepting(self) -> None:
+    def test_error_of_the_listener_itself_is_raised(self) -> None:
         for number in LISTENER_GONE:
             with self.subTest(errno.errorcode[number]), self.fail_first((number,)):
                 self.assertRaises(OSError, self.accept)
 
-    def test_closed_listener_ends_accepting(self) -> None:
+    def test_closed_listener_raises(self) -> None:
         self.listener.close()
         self.assertRaises(OSError, self.accept)
 
-    def test_connection_without_a_place_is_closed_at_once(self) -> None:
+    def test_connection_above_the_limit_is_closed_at_once(self) -> None:
         places = [self.pool.spawn(eventlet.sleep, WAIT_S) for _ in range(2)]
         caller = self.call()
         task = eventlet.spawn(self.accept)
@@ -113,7 +113,7 @@
         self.assertEqual(task.wait().getpeername(), second.getsockname())
         places[1].kill()
 
-    def test_lines_are_bounded(self) -> None:
+    def test_log_lines_are_rate_limited(self) -> None:
         with (
             self.fail_first((errno.ENOBUFS,) * 5),
             self.assertLogs("ruddersaddle_serving.caller_listeners", "WARNING") as found,
@@ -122,7 +122,7 @@
             self.accept()
         self.assertEqual(len(found.output), 1)
 
-    def test_accepted_sockets_are_ordinary_ones(self) -> None:
+    def test_accepted_sockets_are_plain_green_sockets(self) -> None:
         caller = self.call()
         taken = self.accept()
         self.assertIs(type(taken), GreenSocket)
--- a/libs/serving/ruddersaddle_serving/tests/test_caller_watches.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_caller_watches.py
@@ -1,4 +1,4 @@
-"""Tests of noticing callers that have closed their connection."""
+"""Tests of detecting callers that have closed their connections."""
 
 import socket
 import unittest
@@ -19,17 +19,17 @@
         self.addCleanup(watch.stop)
         return watch
 
-    def test_caller_that_left_before_its_request_was_read_is_noticed_at_once(self) -> None:
+    def test_caller_that_left_before_the_watch_is_detected_at_once(self) -> None:
         self.far.sendall(b"next")
         self.assertFalse(self.watch().has_left())
         self.near.recv(100)
         self.far.close()
         self.assertTrue(self.watch().has_left())
 
-    def test_caller_that_waits_has_not_left(self) -> None:
+    def test_waiting_caller_has_not_left(self) -> None:
         self.assertFalse(self.watch().has_left())
 
-    def test_leaving_is_raised_into_the_request(self) -> None:
+    def test_close_is_raised_into_the_request(self) -> None:
         self.watch()
         eventlet.sleep(0)
         self.far.close()
