--- a/libs/serving/ruddersaddle_serving/ports.py
+++ b/libs/serving/ruddersaddle_serving/ports.py
@@ -1,4 +1,7 @@
-"""What the serving core needs of the platform; an adapter implements it and decides nothing."""
+"""Interfaces that the serving core needs from the platform, implemented by an adapter.
+
+The adapter only translates; all decisions are made in the core.
+"""
 
 from collections.abc import Callable, Mapping
 from enum import Enum
@@ -20,16 +23,16 @@
     """A topic of the platform's store that this system reads or writes."""
 
     OPERATOR = "operator"
-    """What operators publish: the configuration and the versions of weights."""
+    """Configurations, weight versions and evacuations that operators publish."""
     UPSTREAMS = "upstreams"
     HOSTS = "hosts"
     LEASE = "lease"
     CRASHES = "crashes"
-    """Requests under which upstreams ended."""
+    """Requests that upstreams crashed while running."""
 
 
 class Record(msgspec.Struct, frozen=True):
-    """One record; `value` is None where the key was dropped, `key` empty in a plain topic."""
+    """One record; `value` is None if the key was deleted, `key` is empty in a plain topic."""
 
     key: str
     value: bytes | None
@@ -37,10 +40,11 @@
 
 
 class StorePosition(msgspec.Struct, frozen=True, order=True, array_like=True):
-    """A place in a topic; positions of a later era come after all of an earlier one.
+    """A position in a topic; positions of a later era come after all of an earlier one.
 
-    The store may come back from a copy some seconds old. What was appended since is gone and
-    offsets are given out again, so that an offset says nothing outside of its era.
+    An era is the store's epoch, raised each time it is restored from a copy. The copy may be some
+    seconds old: later appends are lost and their offsets are assigned again, so an offset is valid
+    only within its era.
     """
 
     era: int
@@ -48,7 +52,7 @@
 
 
 TOPIC_START = StorePosition(0, 0)
-"""The beginning of a topic, and the era of a store that tells none."""
+"""The beginning of a topic; its era is that of a store that reports none."""
 
 
 class Page(msgspec.Struct, frozen=True):
@@ -59,7 +63,7 @@
 
 
 class ModelVersion(msgspec.Struct, frozen=True):
-    """The newest weights of a model, as an operator named them."""
+    """The newest weight version of a model, as published by an operator."""
 
     model: ModelId
     version: int
@@ -70,26 +74,26 @@
 
 
 class AppendOutcome(Enum):
-    """What became of a conditional append."""
+    """The outcome of a conditional append."""
 
     DONE = "done"
     CONFLICT = "conflict"
 
 
 class AppendResult(msgspec.Struct, frozen=True):
-    """The outcome of an append; `end` is the position that follows the topic's last record."""
+    """The result of an append; `end` is the position that follows the topic's last record."""
 
     outcome: AppendOutcome
     end: StorePosition
 
 
 class MetadataStore(Protocol):
-    """The platform's store."""
+    """The platform's metadata store."""
 
     eras: StoreEras
-    """The era of its newest answer; answers of earlier ones are failures."""
+    """The era of the newest answer; answers of earlier eras are failures."""
     calls_by_kind: Mapping[str, int]
-    """Calls so far, by what was asked of which topic; refused ones as well."""
+    """Numbers of calls so far by operation and topic, including refused ones."""
 
     def newest(self, topic: Topic) -> Page | Failure:
         """Return the newest record of each key."""
@@ -97,33 +101,33 @@
     def changes(self, topic: Topic, since: StorePosition, wait_s: float) -> Page | Failure:
         """Return the records from `since` on; wait for one if there is none yet.
 
-        Where some of them are no longer kept, a keyed topic gives a failure with code `GAP`; a
-        plain one gives what it still has. A position of an earlier era is a `GAP` in both.
+        If some of them have expired, a keyed topic gives a failure with code `GAP`, and a plain one
+        gives the records that are left. A position of an earlier era is a `GAP` in both.
         """
 
     def append(self, topic: Topic, value: bytes, at: StorePosition) -> AppendResult | Failure:
         """Append one record if the topic ends at `at`.
 
-        A failure with code `GAP` says that the era of `at` is over; the record may be there.
+        A failure with code `GAP` means that the era of `at` is over; the record may be stored.
         """
 
     def put(self, topic: Topic, key: str, value: bytes | None) -> Failure | None:
-        """Set or drop the value of a key."""
+        """Set or delete the value of a key."""
 
     def put_all(self, topic: Topic, values: Mapping[str, bytes | None]) -> Failure | None:
-        """Set or drop the values of some keys, all or none of them, in one call."""
+        """Set or delete the values of several keys atomically, in one call."""
 
     def decode_operator(self, record: Record) -> OperatorPublication | None | Failure:
-        """Return what an operator published, or None for a record that has no meaning here."""
+        """Return what an operator published, or None for a record of an unknown kind."""
 
     def decode_upstream(self, record: Record) -> UpstreamEntry | Failure:
         """Return the entry of an upstream."""
 
 
 class Transfer(msgspec.Struct, frozen=True):
-    """Where the parts of a prompt are fetched from and saved to, one place for each part.
+    """Where the parts of a prompt are fetched from and saved to, one location for each part.
 
-    `fetch_until_ms` is on the engines' clock; after it a fetch is thrown away.
+    `fetch_until_ms` is on the engines' clock; a fetch that ends later is discarded.
     """
 
     salt: str
@@ -143,41 +147,41 @@
 
 
 class AnswerHead(msgspec.Struct, frozen=True):
-    """What the headers of an upstream's answer say."""
+    """The parsed headers of an upstream's answer."""
 
     status: int
     request: RequestId | None
     has_receipt: bool
     not_run: bool
-    """The upstream itself says that it did not run the request."""
+    """Whether the upstream states that it did not run the request."""
     upstream: UpstreamId | None
     version: int | None
     keep_alive_s: float | None
-    """How long the upstream keeps an idle connection open, if it says so."""
+    """How long the upstream keeps an idle connection open, if it states it."""
     encoded: bool
     headers: Headers
-    """Headers that go to the caller as they came."""
+    """Headers that are forwarded to the caller unchanged."""
     report: SelfReport = SILENT_REPORT
 
 
 class Wire(Protocol):
-    """Headers of callers and upstreams."""
+    """Reads and writes the headers of callers and upstreams."""
 
     def read_caller(self, headers: Headers) -> CallerHead | Failure:
-        """Return what a caller's headers say."""
+        """Parse the headers of a caller's request."""
 
     def write_delivery(self, delivery: Delivery, remaining_s: float) -> dict[str, str]:
         """Return the headers of a request to an upstream."""
 
     def read_answer(self, status: int, headers: Headers) -> AnswerHead:
-        """Return what the headers of an answer say."""
+        """Parse the headers of an upstream's answer."""
 
     def write_refusal(self, request: RequestId | None, retry_after_s: float | None) -> Headers:
-        """Return the headers of an answer of this system: whose it is, when to come back."""
+        """Return the headers of a refusal by this system: the request's id and the retry delay."""
 
 
 class EngineReport(msgspec.Struct, frozen=True):
-    """An engine's own account of itself, some hundred milliseconds old."""
+    """An engine's report of its own state, some hundred milliseconds old."""
 
     version_by_model: dict[ModelId, int]
     loading: bool
@@ -187,7 +191,7 @@
 
 
 class Order(msgspec.Struct, frozen=True):
-    """An order to load weights; `fence` grows with each holder of the lease."""
+    """An order to load weights; `fence` is a fencing token that rises with each lease holder."""
 
     upstream: UpstreamId
     model: ModelId
@@ -198,7 +202,7 @@
 
 
 class OrderOutcome(Enum):
-    """What an engine said to an order."""
+    """An engine's answer to an order."""
 
     ACCEPTED = "taken"
     ALREADY_LOADED = "holds"
@@ -208,16 +212,16 @@
 
 
 class StoreChange(msgspec.Struct, frozen=True, array_like=True):
-    """One part that a context store has whole, or has no longer."""
+    """A part that a context store holds completely, or no longer holds."""
 
     salt: str
     part: PartId
     tokens: int
-    """Tokens kept now; 0 once the part is gone."""
+    """Tokens that are cached now; 0 once the part is deleted."""
 
 
 class StoreChanges(msgspec.Struct, frozen=True):
-    """Changes at a context store. `clock_ms` is the engines' clock when it answered."""
+    """Changes at a context store. `clock_ms` is the engines' clock at the time of the answer."""
 
     epoch: int
     next: int
@@ -227,7 +231,7 @@
 
 
 class StoreListing(msgspec.Struct, frozen=True):
-    """All that a context store has: whole parts, and those whose saving broke off."""
+    """All parts of a context store: complete ones, and those whose saving was interrupted."""
 
     epoch: int
     next: int
@@ -236,32 +240,32 @@
 
 
 class Presence(Enum):
-    """What a question to the address of one start of an upstream showed."""
+    """The result of probing the address of an upstream instance."""
 
     PRESENT = "here"
-    """It answers."""
+    """The instance answers."""
     REPLACED = "replaced"
-    """Another start, or another upstream, answers."""
+    """Another instance, or another upstream, answers."""
     DOWN = "down"
-    """The connection was refused or reset: no process listens there, or it takes nothing."""
+    """The connection was refused or reset: no process listens there, or it accepts nothing."""
     UNKNOWN = "unknown"
-    """Nothing came in time."""
+    """No answer arrived in time."""
 
 
 class Engines(Protocol):
-    """Calls to engines and context stores beside the requests themselves."""
+    """Control calls to engines and context stores, as opposed to callers' requests."""
 
     report_listeners: list[Callable[[UpstreamId, SelfReport], None]]
-    """Called with what answers say of the upstreams that gave them."""
+    """Called with the self-reports that upstreams send in their answers."""
 
     def report(self, address: str) -> EngineReport | Failure:
         """Return an engine's report."""
 
     def presence(self, address: str, start: UpstreamStart) -> Presence:
-        """Ask whether a start of an upstream is at an address."""
+        """Probe whether an upstream instance is at an address."""
 
     def order(self, address: str, order: Order) -> OrderOutcome | Failure:
-        """Give an order; a failure says that it may have been taken."""
+        """Send an order; after a failure it may have been accepted."""
 
     def store_changes(
         self, store: ContextStore, since: int, wait_s: float
@@ -269,9 +273,9 @@
         """Return changes at a context store; wait for some if there are none yet."""
 
     def store_listing(self, store: ContextStore) -> StoreListing | Failure:
-        """Return all that a context store has."""
+        """Return all parts of a context store."""
 
     def free(
         self, store: ContextStore, epoch: int, parts: tuple[StoreChange, ...]
     ) -> Failure | None:
-        """Free parts of a context store, unless it was restarted since `epoch`."""
+        """Delete parts of a context store, unless it was restarted since `epoch`."""
--- a/libs/upstreams/ruddersaddle_upstreams/__init__.py
+++ b/libs/upstreams/ruddersaddle_upstreams/__init__.py
@@ -1,1 +1,1 @@
-"""Clients of what stands behind the hosts: engines, plain services, store hosts, the host list."""
+"""Clients of the services behind the hosts: engines, plain services, store hosts, host list."""
--- a/libs/upstreams/ruddersaddle_upstreams/chains.py
+++ b/libs/upstreams/ruddersaddle_upstreams/chains.py
@@ -1,7 +1,7 @@
-"""Keys of kept context: a chain of digests over a prompt's blocks, salted by its owner.
+"""Keys of cached context: a hash chain over a prompt's blocks, salted by its owner.
 
-The salt holds workspace, model, weight version and adapter, so nothing can be found across any
-of them, even for the same text. Source of the chaining: the usual prefix caching of engines.
+The salt covers workspace, model, weight version and adapter, so blocks are not shared across any of
+these, even for the same text. The chaining is the usual prefix caching of inference engines.
 """
 
 from hashlib import blake2b
@@ -11,7 +11,7 @@
 BLOCK_BYTES = 256
 """Bytes of prompt text in one block."""
 TOKEN_BYTES = 4
-"""Bytes of text to a token, on the average that sizes use."""
+"""Average bytes of text per token, used to estimate sizes."""
 BLOCK_TOKENS = BLOCK_BYTES // TOKEN_BYTES
 KEY_BYTES = 16
 SEPARATOR = "\x00"
@@ -24,7 +24,7 @@
 
 
 def block_keys(salt: str, text: str) -> list[BlockKey]:
-    """Return the key of each whole block of `text`, in order."""
+    """Return the key of each complete block of `text`, in order."""
     data = text.encode()
     parent = salt.encode()
     keys = []
@@ -37,5 +37,5 @@
 
 
 def count_tokens(text: str) -> int:
-    """Return about how many tokens `text` has."""
+    """Return the estimated number of tokens of `text`."""
     return len(text.encode()) // TOKEN_BYTES
--- a/libs/upstreams/ruddersaddle_upstreams/connections.py
+++ b/libs/upstreams/ruddersaddle_upstreams/connections.py
@@ -1,7 +1,7 @@
-"""HTTP connections to one upstream, and replies that are read whole or closed.
+"""HTTP connections to one upstream, and replies that are read completely or closed.
 
-A connection whose reply was not read to its end is closed, never reused: a late answer can't
-reach another request.
+A connection whose reply was not read to its end is closed and never reused, so that a late answer
+can't reach another request.
 """
 
 from collections.abc import Mapping
@@ -16,10 +16,10 @@
 BODILESS_STATUSES = (204, 304)
 """Statuses of answers that have no body."""
 CHUNK_END = b"\r\n"
-"""Ends each chunk and stays in the buffer until the next one is read."""
+"""End of a chunk; stays in the buffer until the next chunk is read."""
 HTTP_ERRORS = (urllib3.exceptions.HTTPError, OSError)
 NOT_SENT_ERRORS = (urllib3.exceptions.NewConnectionError, urllib3.exceptions.ConnectTimeoutError)
-"""Errors that prove that no byte of the request has left."""
+"""Errors that prove that no byte of the request was sent."""
 
 
 TIMEOUTS = (urllib3.exceptions.ConnectTimeoutError, urllib3.exceptions.ReadTimeoutError)
@@ -27,7 +27,7 @@
 
 
 class Reply(msgspec.Struct, frozen=True):
-    """A whole answer of an upstream."""
+    """A complete answer of an upstream."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
@@ -35,7 +35,7 @@
 
 
 class OpenReply:
-    """An answer that is still being read; close it unless it was read to the end."""
+    """An answer that is still being read; must be closed unless it is read to its end."""
 
     def __init__(self, raw: urllib3.BaseHTTPResponse, address: str) -> None:
         self.raw = raw
@@ -44,12 +44,12 @@
 
     @property
     def is_delimited(self) -> bool:
-        """Whether the answer says where it ends, so that one cut short can't pass for whole."""
+        """Whether the answer is framed by a length or chunks, so that truncation is detected."""
         sized = is_whole(self.raw.headers.get("Content-Length", "").strip())
         return sized or self.raw.chunked or self.status in BODILESS_STATUSES
 
     def read_some(self) -> bytes | Failure:
-        """Return what has arrived, waiting for something; empty at the end."""
+        """Return the bytes that have arrived, waiting for some; empty at the end."""
         try:
             data = self.raw.read1(READ_BYTES)
             parts = [data]
@@ -61,10 +61,10 @@
         return b"".join(parts)
 
     def _has_more(self) -> bool:
-        """Return whether a read would find bytes at once.
+        """Return whether a read would return bytes without waiting.
 
-        Each read returns one chunk at most. Reading on while bytes are here is what lets many
-        tokens leave in one write; a buffered reader that is not blocking tells by its `peek`.
+        Each read returns one chunk at most; reading on while bytes are available lets many tokens
+        be forwarded in one write. `peek` of a buffered reader on a non-blocking socket shows it.
         """
         file = getattr(self.raw._fp, "fp", None)
         if file is None:
@@ -78,11 +78,11 @@
             socket.settimeout(timeout)
 
     def close(self) -> None:
-        """Close the connection, which tells the upstream to stop."""
+        """Close the connection, which makes the upstream stop."""
         self.raw.close()
 
     def release(self) -> None:
-        """Give the connection back for reuse, after the end was read."""
+        """Return the connection to the pool, after the answer was read to its end."""
         self.raw.release_conn()
 
 
@@ -98,7 +98,7 @@
     def open(
         self, method: str, path: str, body: bytes = b"", headers: Mapping[str, str] | None = None
     ) -> OpenReply | Failure:
-        """Send a request and return its answer as soon as its headers are here."""
+        """Send a request and return its answer as soon as the headers have arrived."""
         try:
             raw = self.pool.urlopen(
                 method,
@@ -118,7 +118,7 @@
     def call(
         self, method: str, path: str, body: bytes = b"", headers: Mapping[str, str] | None = None
     ) -> Reply | Failure:
-        """Send a request and return its whole answer."""
+        """Send a request and return its complete answer."""
         opened = self.open(method, path, body, headers)
         if isinstance(opened, Failure):
             return opened
@@ -142,7 +142,7 @@
         step: Step,
         headers: Mapping[str, str] | None = None,
     ) -> bytes | Failure:
-        """Send a request and return the body of a good answer; any other status is a failure."""
+        """Send a request and return the answer's body; any status but 200 is a failure."""
         reply = self.call(method, path, body, headers)
         if isinstance(reply, Failure):
             return reply
@@ -157,10 +157,10 @@
 
 
 def transport_failure(step: Step, address: str, error: Exception, ran: Ran) -> Failure:
-    """Return the failure of one call."""
+    """Return the failure that describes a transport error."""
     return Failure(Code.UPSTREAM_FAILED, step, address, type(error).__name__, ran)
 
 
 def is_timeout(failure: Failure) -> bool:
-    """Return whether a call failed because nothing came in time."""
+    """Return whether a call failed by a timeout."""
     return failure.detail in TIMEOUT_NAMES
--- a/libs/upstreams/ruddersaddle_upstreams/engines.py
+++ b/libs/upstreams/ruddersaddle_upstreams/engines.py
@@ -11,14 +11,14 @@
 
 EVENT_END = b"\n\n"
 DONE = b"data: [DONE]\n\n"
-INDEX_PATTERN = re.compile(rb'^data: \{"id":"([^"]*)","token":(\d+),', re.MULTILINE)
+EVENT_HEAD_PATTERN = re.compile(rb'^data: \{"id":"([^"]*)","token":(\d+),', re.MULTILINE)
 HELD_BLOCKS_HEADER = "Held-Blocks"
 CONFLICT = 409
-BUSY = 503
+UNAVAILABLE = 503
 
 
 class EngineRequest(msgspec.Struct, frozen=True):
-    """A generation as engines take it; `first_token` resumes a stream behind those delivered."""
+    """A generation request to an engine; `first_token` resumes after the delivered tokens."""
 
     id: RequestId
     model: ModelId
@@ -33,7 +33,7 @@
 
 
 class LoadReport(msgspec.Struct):
-    """Load as an engine reports it, with a lag; `waiting_tokens` are still to be prefilled."""
+    """Load as reported by an engine, with a lag; `waiting_tokens` are yet to be prefilled."""
 
     waiting_tokens: int
     running: int
@@ -43,7 +43,7 @@
 
 
 class CacheEvent(msgspec.Struct):
-    """One change of an engine's prefix cache; a missing `sequence` is a gap."""
+    """One change of an engine's prefix cache; a skipped `sequence` is a gap."""
 
     sequence: int
     stored: bool
@@ -59,7 +59,7 @@
 
 
 class CacheListing(msgspec.Struct):
-    """All blocks that an engine caches as of a sequence number."""
+    """All blocks cached by an engine as of a sequence number."""
 
     epoch: str
     next: int
@@ -67,19 +67,19 @@
 
 
 class KeyList(msgspec.Struct):
-    """Keys of blocks, in the order of their chain."""
+    """Keys of blocks, in chain order."""
 
     keys: list[BlockKey]
 
 
 class OtherVersion(msgspec.Struct):
-    """Refusal of a request for a weight version that the engine does not have loaded."""
+    """Refusal of a request for a weight version that is not loaded."""
 
     version: str
 
 
 class Order(msgspec.Struct, frozen=True):
-    """An order to load a weight version; engines that check fences refuse an older one."""
+    """An order to load a weight version; engines that check fences refuse lower ones."""
 
     model: ModelId
     version: str
@@ -87,9 +87,9 @@
 
 
 class TokenStream:
-    """Events of one generation, checked for being its own, whole and in order.
+    """Events of one generation, checked to be its own, complete and in order.
 
-    The check counts ids and token numbers by one pattern over the bytes; no event is parsed.
+    Request ids and token numbers are matched by one pattern over the bytes; no event is parsed.
     """
 
     def __init__(self, reply: OpenReply, request: EngineRequest) -> None:
@@ -100,7 +100,7 @@
         self._partial = b""
 
     def read_some(self) -> bytes | Failure:
-        """Return whole events that have arrived; empty when the stream has ended whole."""
+        """Return complete events that have arrived; empty once the stream is complete."""
         while not self.done:
             data = self.reply.read_some()
             if isinstance(data, Failure):
@@ -125,7 +125,7 @@
         if events.endswith(DONE):
             self.done = True
             events = events[: -len(DONE)]
-        found = INDEX_PATTERN.findall(events)
+        found = EVENT_HEAD_PATTERN.findall(events)
         if len(found) != events.count(EVENT_END):
             return self._fail("an event without id and token number")
         for request_id, number in found:
@@ -137,7 +137,7 @@
         return events
 
     def finish(self) -> None:
-        """Give the connection back if the stream ended whole; else close it."""
+        """Release the connection for reuse if the stream is complete; else close it."""
         if self.done:
             self.reply.raw.drain_conn()
             self.reply.release()
@@ -166,12 +166,12 @@
         if opened.status == CONFLICT:
             return self._read_version(opened)
         opened.close()
-        code = Code.OVERLOADED if opened.status == BUSY else Code.UPSTREAM_FAILED
+        code = Code.OVERLOADED if opened.status == UNAVAILABLE else Code.UPSTREAM_FAILED
         detail = f"status {opened.status}"
         return Failure(code, Step.SEND, self.address, detail, Ran.NOT_RUN)
 
     def _read_version(self, opened: OpenReply) -> Failure:
-        """Return the failure of an engine that has other weights; its detail is their version."""
+        """Return the failure for other loaded weights; its detail is their version."""
         data = opened.read_some()
         opened.close()
         if isinstance(data, Failure):
@@ -182,11 +182,11 @@
         return Failure(Code.OTHER_VERSION, Step.SEND, self.address, found.version)
 
     def load(self) -> LoadReport | Failure:
-        """Return the engine's lagged load."""
+        """Return the engine's load, as of its last report."""
         return self._get("/v1/load", LoadReport)
 
     def events(self, start: int, wait_s: float) -> EventPage | Failure:
-        """Return cache events from a sequence number on, waiting for some."""
+        """Return cache events from a sequence number on, waiting for some if there are none."""
         return self._get(f"/v1/events?from={start}&wait={wait_s}", EventPage)
 
     def listing(self) -> CacheListing | Failure:
@@ -194,26 +194,26 @@
         return self._get("/v1/blocks", CacheListing)
 
     def list_request_blocks(self, request: RequestId) -> list[BlockKey] | Failure:
-        """Return the chain of a finished request, prompt and answer."""
+        """Return the chain of block keys of a finished request's prompt and answer."""
         found = self._get(f"/v1/requests/{request}/blocks", KeyList)
         return found if isinstance(found, Failure) else found.keys
 
     def export_blocks(self, keys: list[BlockKey]) -> bytes | Failure:
-        """Return sealed frames of those of the blocks that are still cached."""
+        """Return sealed frames of those blocks that are still cached."""
         body = encode_json(KeyList(keys))
         return self.connections.call_ok("POST", "/v1/export", body, Step.KEEP)
 
     def import_blocks(self, frames: bytes, held: list[BlockKey]) -> int | Failure:
-        """Put verified frames into the engine's cache; return how many bytes were taken.
+        """Import verified frames into the engine's cache; return the number of bytes sent.
 
-        `held` are the blocks before them in their chain, which are not to be dropped for them.
+        `held` are the preceding blocks of their chain, which must not be evicted for them.
         """
         headers = {HELD_BLOCKS_HEADER: ",".join(held)} if held else None
         reply = self.connections.call_ok("POST", "/v1/import", frames, Step.FETCH, headers)
         return reply if isinstance(reply, Failure) else len(frames)
 
     def order(self, order: Order) -> bool | Failure:
-        """Give an order; False means that the engine refused its fence."""
+        """Send an order; False means that the engine refused its fence."""
         reply = self.connections.call("POST", "/v1/orders", encode_json(order))
         if isinstance(reply, Failure):
             return reply
--- a/libs/upstreams/ruddersaddle_upstreams/frames.py
+++ b/libs/upstreams/ruddersaddle_upstreams/frames.py
@@ -1,7 +1,7 @@
-"""Sealed frames: one block of kept context with its key, generation and digest.
+"""Sealed frames: one block of cached context with its key, generation and digest.
 
-Readers verify after the read and before use. A block that was freed, reused or only partly
-written fails here and is a miss. Nobody has to coordinate with whoever frees blocks.
+Readers verify each frame before they use it. A block that was freed, reused or partly written fails
+verification and counts as a miss, so readers don't have to coordinate with whoever frees blocks.
 """
 
 import struct
@@ -20,7 +20,7 @@
 
 
 class Frame(msgspec.Struct, frozen=True):
-    """A block that was verified."""
+    """A verified block."""
 
     key: BlockKey
     generation: int
@@ -28,18 +28,18 @@
 
     @property
     def payload(self) -> bytes:
-        """The block's own bytes."""
+        """The block without its header."""
         return self.sealed[HEADER.size :]
 
 
 def seal_frame(key: BlockKey, generation: int, payload: bytes) -> bytes:
-    """Return the bytes of a sealed frame."""
+    """Return a sealed frame as bytes."""
     digest = _digest(bytes.fromhex(key), generation, payload)
     return HEADER.pack(MAGIC, bytes.fromhex(key), generation, len(payload), digest) + payload
 
 
 def open_frame(data: bytes, key: BlockKey, peer: str) -> Frame | Failure:
-    """Return the frame of `key` that `data` holds, or a failure if anything is not as sealed."""
+    """Return the frame of `key` in `data`, or a failure if verification fails."""
     if len(data) < HEADER.size:
         return _corrupt(peer, "short header")
     magic, found_key, generation, length, digest = HEADER.unpack_from(data)
@@ -54,7 +54,7 @@
 
 
 def split_frames(data: bytes) -> Iterator[bytes]:
-    """Yield each frame of concatenated frames; the last may be cut short."""
+    """Yield each of several concatenated frames; the last may be truncated."""
     start = 0
     while start < len(data):
         if len(data) - start < HEADER.size:
--- a/libs/upstreams/ruddersaddle_upstreams/host_lists.py
+++ b/libs/upstreams/ruddersaddle_upstreams/host_lists.py
@@ -15,14 +15,14 @@
 
 
 class HostState(Enum):
-    """What the host list says of a host."""
+    """The state of a host in the list."""
 
     LIVE = "live"
     LEAVING = "leaving"
 
 
 class HostRole(Enum):
-    """What a host of the list does."""
+    """The role of a host in the list."""
 
     ENTRY = "entry"
     ENGINE = "engine"
@@ -42,14 +42,14 @@
 
 
 class HostPage(msgspec.Struct):
-    """The list as of a version; no rows if the asker's version is the newest."""
+    """The list as of a version; no rows if the client's version is the newest."""
 
     version: int
     hosts: list[HostRow] | None
 
 
 class HostList:
-    """The newest list that was read; keeps the last one while the platform is out."""
+    """The newest list that was read; kept while the platform is unavailable."""
 
     def __init__(self, address: str, poll_s: float, timeout_s: float) -> None:
         self.address = address
@@ -75,7 +75,7 @@
             return False
         page = decode_json(data, HostPage, Step.READ, self.address)
         if isinstance(page, Failure):
-            logger.warning("Unreadable answer. %s", page.detail)
+            logger.warning("Answer of the host list can't be decoded. %s", page.detail)
             return False
         if page.hosts is not None:
             self.version = page.version
@@ -84,11 +84,11 @@
         return True
 
     def entries(self) -> list[HostRow]:
-        """Return the entry hosts, by id."""
+        """Return the entry hosts, sorted by id."""
         rows = [row for row in self.by_id.values() if row.role is HostRole.ENTRY]
         return sorted(rows, key=lambda row: row.id)
 
     def is_leaving(self, address: str) -> bool:
-        """Return whether the host at an address is leaving; one not listed isn't."""
+        """Return whether the host at an address is leaving; False if it is not listed."""
         row = self.by_address.get(address)
         return row is not None and row.state is HostState.LEAVING
--- a/libs/upstreams/ruddersaddle_upstreams/links.py
+++ b/libs/upstreams/ruddersaddle_upstreams/links.py
@@ -1,21 +1,21 @@
-"""Links to store hosts: measured throughput, and the share that background transfers may take."""
+"""Links to store hosts: measured throughput, and the budget of background transfers."""
 
 import time
 
 SMOOTHING = 0.3
-"""Weight of the newest transfer in the measured rate."""
+"""Weight of the newest transfer in the moving average of the rate."""
 RATE_SAMPLE_BYTES_MIN = 4096
-"""Transfers below this say more of latency than of rate."""
+"""Smaller transfers measure latency rather than throughput."""
 FAILURE_HOLD_S = 2.0
-"""Seconds for which a link that failed is not used."""
+"""How long a link is not used after a failure."""
 BACKGROUND_SHARE = 0.5
-"""Share of the link's bytes a second that keeping and prefetching may use."""
+"""Share of the link's throughput that saving and prefetching may use."""
 BURST_S = 1.0
-"""Seconds' worth of background bytes that may go at once."""
+"""Seconds of background throughput that may be sent in one burst."""
 
 
 class Link:
-    """The link between this host and one store host; rates are in bytes a second."""
+    """The link between this host and one store host; rates are in bytes per second."""
 
     def __init__(self, capacity_bytes_s: float) -> None:
         self.capacity_bytes_s = capacity_bytes_s
@@ -34,7 +34,7 @@
         return time.monotonic() - self._failed_at >= FAILURE_HOLD_S
 
     def record_transfer(self, size: int, seconds: float) -> None:
-        """Take one finished transfer into the measured rate."""
+        """Update the measured rate with one finished transfer."""
         self.moved_bytes += size
         self.busy_s += seconds
         if size >= RATE_SAMPLE_BYTES_MIN and seconds > 0:
@@ -42,15 +42,15 @@
             self.rate_bytes_s += SMOOTHING * (rate - self.rate_bytes_s)
 
     def record_failure(self) -> None:
-        """Note a transfer that failed."""
+        """Record a failed transfer."""
         self._failed_at = time.monotonic()
 
     def estimate_s(self, size: int) -> float:
-        """Return the seconds that `size` more bytes would take behind those that wait."""
+        """Return the seconds that `size` more bytes would take behind the queued ones."""
         return (self.queued_bytes + size) / max(1.0, self.rate_bytes_s)
 
     def try_reserve_background(self, size: int) -> bool:
-        """Take `size` bytes of the background's budget if it has them."""
+        """Reserve `size` bytes of the background budget if it has as many (token bucket)."""
         now = time.monotonic()
         refill = self.rate_bytes_s * BACKGROUND_SHARE
         self._allowance += (now - self._allowed_at) * refill
--- a/libs/upstreams/ruddersaddle_upstreams/services.py
+++ b/libs/upstreams/ruddersaddle_upstreams/services.py
@@ -1,4 +1,4 @@
-"""Calls of plain services."""
+"""Client of plain services."""
 
 from collections.abc import Mapping
 
@@ -21,14 +21,14 @@
         "upgrade",
     }
 )
-"""Headers that belong to one connection, or to us, and are not passed on."""
+"""Headers that concern one connection, or this system alone, and are not forwarded."""
 
 
 class ServiceClient:
-    """Calls one plain service; each call has a connection of its own.
+    """Calls one plain service, each time on a new connection.
 
-    A fresh connection costs a round trip, but a kept one that the service has just closed would
-    leave the call's outcome unknown.
+    A new connection costs a round trip, but on a reused one that the service has just closed the
+    call's outcome would be unknown.
     """
 
     def __init__(self, address: str, connect_s: float, read_s: float) -> None:
@@ -39,7 +39,7 @@
     def call(
         self, method: str, path: str, headers: Mapping[str, str], body: bytes
     ) -> Reply | Failure:
-        """Pass a call on and return its whole answer; a failure says whether it may have run."""
+        """Forward a call and return its complete answer; a failure says whether it may have run."""
         connections = Connections(self.address, self.connect_s, self.read_s, keep=1)
         forwarded = {name: value for name, value in headers.items() if is_forwarded(name)}
         forwarded["Connection"] = "close"
@@ -49,5 +49,5 @@
 
 
 def is_forwarded(name: str) -> bool:
-    """Return whether a header is passed on."""
+    """Return whether a header is forwarded."""
     return name.lower() not in HOP_BY_HOP_HEADERS
--- a/libs/upstreams/ruddersaddle_upstreams/stores.py
+++ b/libs/upstreams/ruddersaddle_upstreams/stores.py
@@ -1,4 +1,4 @@
-"""Client of store hosts, which keep blocks of context in memory and on disk."""
+"""Client of store hosts, which cache blocks of context in memory and on disk."""
 
 import time
 
@@ -12,18 +12,18 @@
 from ruddersaddle_upstreams.frames import Frame, open_frame, split_frames
 from ruddersaddle_upstreams.links import Link
 
-FULL = 507
+INSUFFICIENT_STORAGE = 507
 
 
 class FoundCount(msgspec.Struct):
-    """How many blocks of a chain, from its start, a store host holds sealed."""
+    """How many sealed blocks of a chain, from its start, a store host has, and their size."""
 
     count: int
     bytes: int
 
 
 class ReadCounts(msgspec.Struct):
-    """Counts of blocks read, and of those that failed verification and were not used."""
+    """Numbers of blocks read, and of those discarded after a failed verification."""
 
     tried: int = 0
     mismatched: int = 0
@@ -39,7 +39,7 @@
         self.connections = Connections(address, connect_s, timeout_s)
 
     def find(self, keys: list[BlockKey]) -> FoundCount | Failure:
-        """Return how much of a chain the store host holds, from its start."""
+        """Return how much of a chain, from its start, the store host has."""
         body = encode_json(KeyList(keys))
         data = self.connections.call_ok("POST", "/v1/find", body, Step.FETCH)
         if isinstance(data, Failure):
@@ -47,7 +47,7 @@
         return decode_json(data, FoundCount, Step.FETCH, self.address)
 
     def read(self, keys: list[BlockKey]) -> list[Frame] | Failure:
-        """Return verified frames from the chain's start up to the first that is not right."""
+        """Return verified frames from the chain's start up to the first that is invalid."""
         started = time.monotonic()
         body = encode_json(KeyList(keys))
         data = self.connections.call_ok("POST", "/v1/read", body, Step.FETCH)
@@ -69,14 +69,14 @@
         return frames
 
     def write(self, frames: bytes) -> int | Failure:
-        """Write sealed frames; return the bytes taken."""
+        """Write sealed frames; return the number of bytes written."""
         started = time.monotonic()
         reply = self.connections.call("POST", "/v1/write", frames)
         if isinstance(reply, Failure):
             self.link.record_failure()
             return reply
         if reply.status != OK:
-            code = Code.OVERLOADED if reply.status == FULL else Code.UPSTREAM_FAILED
+            code = Code.OVERLOADED if reply.status == INSUFFICIENT_STORAGE else Code.UPSTREAM_FAILED
             return Failure(code, Step.KEEP, self.address, f"status {reply.status}")
         self.link.record_transfer(len(frames), time.monotonic() - started)
         return len(frames)
