--- a/libs/serving/ruddersaddle_serving/forwarders.py
+++ b/libs/serving/ruddersaddle_serving/forwarders.py
@@ -181,14 +181,14 @@
             )
             self._record_choice()
             failure = self.attempt.connect()
-            word = "no connection"
+            outcome = "no connection"
             if failure is None:
                 failure = forwarder.placement.check_open(choice.tracker)
                 if failure is None:
                     return self._send()
-                word = failure.detail
+                outcome = failure.detail
             self._excluded.add(choice.tracker.id)
-            self._end_attempt(None, f"{choice.tracker.id} {word}")
+            self._end_attempt(None, f"{choice.tracker.id} {outcome}")
         return self._without_connection(failure)
 
     def _without_connection(self, failure: Failure) -> Failure:
@@ -345,8 +345,8 @@
             return False
         return self.forwarder.budget.take()
 
-    def _end_attempt(self, failed: bool | None, word: str) -> None:
-        self.trace.attempts.append(word)
+    def _end_attempt(self, failed: bool | None, outcome: str) -> None:
+        self.trace.attempts.append(outcome)
         if self.attempt.is_broken:
             self.forwarder.crashes.note_broken(
                 self.attempt.choice.tracker, self.request.fingerprint
--- a/libs/serving/ruddersaddle_serving/ports.py
+++ b/libs/serving/ruddersaddle_serving/ports.py
@@ -261,7 +261,7 @@
     def report(self, address: str) -> EngineReport | Failure:
         """Return an engine's report."""
 
-    def presence(self, address: str, start: UpstreamStart) -> Presence:
+    def presence(self, address: str, instance: UpstreamStart) -> Presence:
         """Probe whether an upstream instance is at an address."""
 
     def order(self, address: str, order: Order) -> OrderOutcome | Failure:
--- a/libs/serving/ruddersaddle_serving/upstream_connections.py
+++ b/libs/serving/ruddersaddle_serving/upstream_connections.py
@@ -119,7 +119,7 @@
         except ERRORS as error:
             return self._fail(Step.READ, self._send_error or error)
         if self._send_error is not None and not self._is_delimited:
-            # Without a length, the answer's end can't be told from the lost connection.
+            # Without a length, the answer's end looks the same as the lost connection.
             return self._fail(Step.SEND, self._send_error)
         headers = tuple((name, value) for name, value in self.raw.headers.items())
         self.head = wire.read_answer(self.raw.status, headers)
