--- a/libs/upstreams/ruddersaddle_upstreams/connections.py
+++ b/libs/upstreams/ruddersaddle_upstreams/connections.py
@@ -89,11 +89,11 @@
 class Connections:
     """The connections to one address."""
 
-    def __init__(self, address: str, connect_s: float, read_s: float, keep: int = 16) -> None:
+    def __init__(self, address: str, connect_s: float, read_s: float, idle_max: int = 16) -> None:
         self.address = address
         self.timeout = urllib3.Timeout(connect=connect_s, read=read_s)
         host, _, port = address.partition(":")
-        self.pool = urllib3.HTTPConnectionPool(host, int(port), maxsize=keep, retries=False)
+        self.pool = urllib3.HTTPConnectionPool(host, int(port), maxsize=idle_max, retries=False)
 
     def open(
         self, method: str, path: str, body: bytes = b"", headers: Mapping[str, str] | None = None
--- a/libs/upstreams/ruddersaddle_upstreams/engines.py
+++ b/libs/upstreams/ruddersaddle_upstreams/engines.py
@@ -154,7 +154,7 @@
 
     def __init__(self, address: str, connect_s: float, read_s: float) -> None:
         self.address = address
-        self.connections = Connections(address, connect_s, read_s, keep=64)
+        self.connections = Connections(address, connect_s, read_s, idle_max=64)
 
     def generate(self, request: EngineRequest) -> TokenStream | Failure:
         """Start a generation and return its stream."""
--- a/libs/upstreams/ruddersaddle_upstreams/services.py
+++ b/libs/upstreams/ruddersaddle_upstreams/services.py
@@ -40,7 +40,7 @@
         self, method: str, path: str, headers: Mapping[str, str], body: bytes
     ) -> Reply | Failure:
         """Forward a call and return its complete answer; a failure says whether it may have run."""
-        connections = Connections(self.address, self.connect_s, self.read_s, keep=1)
+        connections = Connections(self.address, self.connect_s, self.read_s, idle_max=1)
         forwarded = {name: value for name, value in headers.items() if is_forwarded(name)}
         forwarded["Connection"] = "close"
         reply = connections.call(method, path, body, forwarded)
