--- a/libs/serving/ruddersaddle_serving/attempts.py
+++ b/libs/serving/ruddersaddle_serving/attempts.py
@@ -45,7 +45,7 @@
         self.last_event = last_event
         self.sent_at: float | None = None
         self.exchange: Exchange | None = None
-        self._start = choice.tracker.entry.start
+        self._start = choice.tracker.entry.instance
         choice.tracker.in_flight += 1
         self._finished = False
         self._reach = Reach.NOTHING
--- a/libs/serving/ruddersaddle_serving/cold_starts.py
+++ b/libs/serving/ruddersaddle_serving/cold_starts.py
@@ -9,13 +9,13 @@
 import msgspec
 from ruddersaddle_base import clocks
 
-from ruddersaddle_serving.upstream_entries import Heartbeat, UpstreamStart
+from ruddersaddle_serving.upstream_entries import Heartbeat, UpstreamInstance
 
 
 class ColdStart(msgspec.Struct, frozen=True, array_like=True):
     """Tells that a start of an upstream is cold."""
 
-    start: UpstreamStart
+    start: UpstreamInstance
     heartbeat: Heartbeat
     """The write that told it, with the seconds that are left now."""
 
@@ -31,9 +31,9 @@
     """Until when each start of an upstream is cold."""
 
     def __init__(self) -> None:
-        self._told_by_start: dict[UpstreamStart, _Told] = {}
+        self._told_by_start: dict[UpstreamInstance, _Told] = {}
 
-    def take(self, start: UpstreamStart, heartbeat: Heartbeat) -> None:
+    def take(self, start: UpstreamInstance, heartbeat: Heartbeat) -> None:
         """Take what a write of an entry says, counted from now: it was made some time before.
 
         A write that is older than the known one can only lengthen the time: where the same id
@@ -52,7 +52,7 @@
         for each in cold:
             self.take(each.start, each.heartbeat)
 
-    def until(self, start: UpstreamStart) -> float:
+    def until(self, start: UpstreamInstance) -> float:
         """Return until when a start is cold, on the steady clock; long ago if it never was."""
         known = self._told_by_start.get(start)
         return float("-inf") if known is None else known.until
@@ -66,7 +66,7 @@
             if told.until > now
         )
 
-    def keep_only(self, starts: Collection[UpstreamStart]) -> None:
+    def keep_only(self, starts: Collection[UpstreamInstance]) -> None:
         """Forget starts that are gone."""
         for gone in self._told_by_start.keys() - set(starts):
             del self._told_by_start[gone]
--- a/libs/serving/ruddersaddle_serving/crash_records.py
+++ b/libs/serving/ruddersaddle_serving/crash_records.py
@@ -19,7 +19,7 @@
 import msgspec
 
 from ruddersaddle_serving.fingerprints import Fingerprint
-from ruddersaddle_serving.upstream_entries import UpstreamStart
+from ruddersaddle_serving.upstream_entries import UpstreamInstance
 from ruddersaddle_serving.upstream_lists import REVISION_BITS
 
 logger = logging.getLogger(__name__)
@@ -48,7 +48,7 @@
 class Crash(msgspec.Struct, frozen=True, array_like=True):
     """One start of an upstream that ended without notice, and what it ran or had queued."""
 
-    start: UpstreamStart
+    start: UpstreamInstance
     fingerprints: tuple[Fingerprint, ...]
 
 
@@ -56,7 +56,7 @@
     """The starts of upstreams that ended under one request."""
 
     fingerprint: Fingerprint
-    starts: tuple[UpstreamStart, ...]
+    starts: tuple[UpstreamInstance, ...]
     last_ms: int
     """When the last of them ended."""
 
@@ -79,7 +79,7 @@
         spare_ms = self.until_ms - self.last_ms if self.is_verdict else 0
         return now_ms >= self.until_ms + spare_ms
 
-    def with_starts(self, starts: Iterable[UpstreamStart], last_ms: int) -> "CrashRecord":
+    def with_starts(self, starts: Iterable[UpstreamInstance], last_ms: int) -> "CrashRecord":
         """Return the record with further crashes.
 
         Which ones are kept doesn't hang on the order in which hosts heard of them, so that all of
@@ -101,7 +101,7 @@
         self._whole_at: dict[Fingerprint, int] = {}
         """Requests that ended whole a moment ago, the latest last."""
         self._cleared_at: dict[Fingerprint, int] = {}
-        self._cause_by_start: dict[UpstreamStart, Fingerprint] = {}
+        self._cause_by_start: dict[UpstreamInstance, Fingerprint] = {}
         """Starts whose end a refused request explains."""
 
     # What was seen
@@ -198,7 +198,7 @@
         return record is not None and record.is_verdict
 
     def _extend(
-        self, fingerprint: Fingerprint, starts: Iterable[UpstreamStart], last_ms: int
+        self, fingerprint: Fingerprint, starts: Iterable[UpstreamInstance], last_ms: int
     ) -> CrashRecord:
         known = self.by_fingerprint.get(fingerprint)
         if known is None:
--- a/libs/serving/ruddersaddle_serving/crash_shares.py
+++ b/libs/serving/ruddersaddle_serving/crash_shares.py
@@ -28,7 +28,7 @@
 from ruddersaddle_serving.peers import Peers
 from ruddersaddle_serving.ports import MetadataStore, Record, Topic
 from ruddersaddle_serving.tasks import spawn_forever
-from ruddersaddle_serving.upstream_entries import UpstreamStart
+from ruddersaddle_serving.upstream_entries import UpstreamInstance
 
 logger = logging.getLogger(__name__)
 
@@ -71,7 +71,7 @@
     """What waits to be told."""
 
     def __init__(self) -> None:
-        self.fingerprints_by_start: dict[UpstreamStart, dict[Fingerprint, None]] = {}
+        self.fingerprints_by_start: dict[UpstreamInstance, dict[Fingerprint, None]] = {}
         self.cleared: dict[Fingerprint, None] = {}
 
 
--- a/libs/serving/ruddersaddle_serving/crash_watches.py
+++ b/libs/serving/ruddersaddle_serving/crash_watches.py
@@ -16,7 +16,7 @@
 from ruddersaddle_serving.fingerprints import Fingerprint
 from ruddersaddle_serving.ports import Engines, Presence
 from ruddersaddle_serving.trackers import Tracker
-from ruddersaddle_serving.upstream_entries import UpstreamStart
+from ruddersaddle_serving.upstream_entries import UpstreamInstance
 from ruddersaddle_serving.upstream_lists import UpstreamList
 
 logger = logging.getLogger(__name__)
@@ -54,7 +54,7 @@
         self.counts = {"crash": 0, "reset": 0, "refused": 0}
         """Upstreams that ended under runs of this host, upstreams that lived on after a run had
         broken off, and requests that were refused for the crashes they caused."""
-        self._broken_by_start: dict[UpstreamStart, dict[Fingerprint, None]] = {}
+        self._broken_by_start: dict[UpstreamInstance, dict[Fingerprint, None]] = {}
 
     # What is decided
 
@@ -102,18 +102,18 @@
         if listed is None or listed.leaving:
             # Its end was planned: it said so, or took its entry back and served on a while.
             return
-        is_watched = entry.start in self._broken_by_start
-        broken = self._broken_by_start.setdefault(entry.start, {})
+        is_watched = entry.instance in self._broken_by_start
+        broken = self._broken_by_start.setdefault(entry.instance, {})
         if len(broken) < FINGERPRINTS_MAX:
             broken[fingerprint] = None
         if not is_watched:
-            eventlet.spawn(self._look, tracker, entry.start)
+            eventlet.spawn(self._look, tracker, entry.instance)
 
     def is_open(self, fingerprint: Fingerprint) -> bool:
         """Return whether it isn't known yet if a run of this request ended its upstream."""
         return any(fingerprint in broken for broken in self._broken_by_start.values())
 
-    def _look(self, tracker: Tracker, start: UpstreamStart) -> None:
+    def _look(self, tracker: Tracker, start: UpstreamInstance) -> None:
         try:
             has_ended = self._has_ended(tracker, start)
         finally:
@@ -127,11 +127,11 @@
         logger.warning("Upstream %s ended under %d runs.", start, len(broken), extra=fields)
         self.tell_crash(Crash(start, broken))
 
-    def _has_ended(self, tracker: Tracker, start: UpstreamStart) -> bool:
+    def _has_ended(self, tracker: Tracker, start: UpstreamInstance) -> bool:
         down = 0
         for pause_s in LOOK_PAUSES_S:
             eventlet.sleep(pause_s)
-            if tracker.is_replaced or tracker.entry.start != start:
+            if tracker.is_replaced or tracker.entry.instance != start:
                 return True
             match self.engines.presence(tracker.entry.address, start):
                 case Presence.HERE:
--- a/libs/serving/ruddersaddle_serving/load_shares.py
+++ b/libs/serving/ruddersaddle_serving/load_shares.py
@@ -20,7 +20,7 @@
 from ruddersaddle_serving.silences import Silence
 from ruddersaddle_serving.tasks import spawn_forever
 from ruddersaddle_serving.trackers import Notice, Tracker, Trackers
-from ruddersaddle_serving.upstream_entries import UpstreamStart
+from ruddersaddle_serving.upstream_entries import UpstreamInstance
 from ruddersaddle_serving.upstream_lists import UpstreamList
 
 DIRECT_HOSTS_MAX = 12
@@ -141,7 +141,7 @@
         if tracker is not None:
             tracker.take_notice(host, notice)
         if notice.leave is not None:
-            start = UpstreamStart(notice.upstream, notice.born_ms)
+            start = UpstreamInstance(notice.upstream, notice.born_ms)
             self.upstreams.note_leaving(start, notice.leave.request, host)
 
     @property
--- a/libs/serving/ruddersaddle_serving/neighbour_messages.py
+++ b/libs/serving/ruddersaddle_serving/neighbour_messages.py
@@ -14,7 +14,7 @@
 from ruddersaddle_serving.publications import NamingAge
 from ruddersaddle_serving.routes import Published
 from ruddersaddle_serving.store_eras import UNTOLD
-from ruddersaddle_serving.upstream_entries import UpstreamEntry, UpstreamStart
+from ruddersaddle_serving.upstream_entries import UpstreamEntry, UpstreamInstance
 
 
 class AskNews(msgspec.Struct, frozen=True, tag="ask_news"):
@@ -60,7 +60,7 @@
     """Era of the store that `end` belongs to."""
     known_era: int = UNTOLD
     """Newest era of the store that the teller knows."""
-    gone: tuple[UpstreamStart, ...] = ()
+    gone: tuple[UpstreamInstance, ...] = ()
     """Starts of upstreams that have left; told with `entries`."""
     lapsing: tuple[UpstreamId, ...] = ()
     """Upstreams among `entries` that are gone from the store and kept for their grace."""
@@ -70,7 +70,7 @@
     """Position of the list that `hosts` is."""
     cold: tuple[ColdStart, ...] = ()
     """Starts of upstreams that are cold."""
-    leaving: tuple[UpstreamStart, ...] = ()
+    leaving: tuple[UpstreamInstance, ...] = ()
     """Starts that said in an answer that they leave, whatever their entries say."""
 
 
--- a/libs/serving/ruddersaddle_serving/placements.py
+++ b/libs/serving/ruddersaddle_serving/placements.py
@@ -182,7 +182,7 @@
     def check_open(self, tracker: Tracker) -> Failure | None:
         """Return why a request may no longer be sent to an upstream that was chosen before."""
         hall = tracker.entry.hall
-        if self.upstreams.is_leaving(tracker.entry.start):
+        if self.upstreams.is_leaving(tracker.entry.instance):
             detail = "it said meanwhile that it leaves"
         elif self.publications.evacuations.is_in_force(hall):
             detail = f"hall {hall} was evacuated meanwhile"
--- a/libs/serving/ruddersaddle_serving/ports.py
+++ b/libs/serving/ruddersaddle_serving/ports.py
@@ -13,7 +13,7 @@
 from ruddersaddle_serving.routes import ContextStore, Published
 from ruddersaddle_serving.self_reports import SILENT_REPORT, SelfReport
 from ruddersaddle_serving.store_eras import StoreEras
-from ruddersaddle_serving.upstream_entries import UpstreamEntry, UpstreamStart
+from ruddersaddle_serving.upstream_entries import UpstreamEntry, UpstreamInstance
 
 
 class Topic(Enum):
@@ -257,7 +257,7 @@
     def report(self, address: str) -> EngineReport | Failure:
         """Return an engine's report."""
 
-    def presence(self, address: str, start: UpstreamStart) -> Presence:
+    def presence(self, address: str, start: UpstreamInstance) -> Presence:
         """Ask whether a start of an upstream is at an address."""
 
     def order(self, address: str, order: Order) -> OrderOutcome | Failure:
--- a/libs/serving/ruddersaddle_serving/probes.py
+++ b/libs/serving/ruddersaddle_serving/probes.py
@@ -100,7 +100,7 @@
     def probe(self, tracker: Tracker) -> None:
         """Ask an upstream whether it is there, and tell the answer."""
         self.count += 1
-        presence = self.engines.presence(tracker.entry.address, tracker.entry.start)
+        presence = self.engines.presence(tracker.entry.address, tracker.entry.instance)
         match presence:
             case Presence.HERE:
                 self._note_reached(tracker)
@@ -115,5 +115,5 @@
         self._tell(tracker, Progress.REACHED)
 
     def _tell(self, tracker: Tracker, progress: Progress) -> None:
-        start = tracker.entry.start
+        start = tracker.entry.instance
         self.tell(Notice(start.id, 0, progress, born_ms=start.born_ms))
--- a/libs/serving/ruddersaddle_serving/tests/test_cold_starts.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_cold_starts.py
@@ -6,9 +6,9 @@
 
 from ruddersaddle_serving.cold_starts import ColdStarts
 from ruddersaddle_serving.tests.fixed_clocks import FixedClockTest
-from ruddersaddle_serving.upstream_entries import Heartbeat, UpstreamStart
+from ruddersaddle_serving.upstream_entries import Heartbeat, UpstreamInstance
 
-START = UpstreamStart(UpstreamId("u"), 1000)
+START = UpstreamInstance(UpstreamId("u"), 1000)
 
 
 class ColdStartsTest(FixedClockTest):
--- a/libs/serving/ruddersaddle_serving/tests/test_crash_records.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_crash_records.py
@@ -15,14 +15,14 @@
     CrashRecords,
 )
 from ruddersaddle_serving.fingerprints import Fingerprint
-from ruddersaddle_serving.upstream_entries import UpstreamStart
+from ruddersaddle_serving.upstream_entries import UpstreamInstance
 
 BAD, OTHER, COMMON = Fingerprint("bad"), Fingerprint("other"), Fingerprint("common")
 
 
-def start(number: int) -> UpstreamStart:
+def start(number: int) -> UpstreamInstance:
     """Return a start of an upstream."""
-    return UpstreamStart(UpstreamId(f"e-{number}"), 1000 + number)
+    return UpstreamInstance(UpstreamId(f"e-{number}"), 1000 + number)
 
 
 class CrashRecordsTest(unittest.TestCase):
@@ -55,7 +55,7 @@
 
     def test_later_start_under_the_same_id_counts_by_itself(self) -> None:
         for born_ms in range(CRASHES_MAX):
-            crash = Crash(UpstreamStart(UpstreamId("e"), born_ms), (BAD,))
+            crash = Crash(UpstreamInstance(UpstreamId("e"), born_ms), (BAD,))
             self.records.note_crash(crash, self.now_ms)
         self.assertTrue(self.is_refused(BAD))
 
--- a/libs/serving/ruddersaddle_serving/tests/test_crash_shares.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_crash_shares.py
@@ -14,7 +14,7 @@
 from ruddersaddle_serving.fingerprints import Fingerprint
 from ruddersaddle_serving.hosts import HostRecord, Hosts
 from ruddersaddle_serving.ports import Record, Topic
-from ruddersaddle_serving.upstream_entries import UpstreamStart
+from ruddersaddle_serving.upstream_entries import UpstreamInstance
 
 BAD, COMMON = Fingerprint("bad"), Fingerprint("common")
 AWAY = Failure(Code.LOG_UNAVAILABLE, Step.APPEND, "store", "status 503")
@@ -63,9 +63,9 @@
             self.by_address[address].take(message)
 
 
-def start(number: int) -> UpstreamStart:
+def start(number: int) -> UpstreamInstance:
     """Return a start of an upstream."""
-    return UpstreamStart(UpstreamId(f"e-{number}"), 1000 + number)
+    return UpstreamInstance(UpstreamId(f"e-{number}"), 1000 + number)
 
 
 class CrashSharesTest(unittest.TestCase):
--- a/libs/serving/ruddersaddle_serving/tests/test_load_shares.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_load_shares.py
@@ -11,7 +11,7 @@
 from ruddersaddle_serving.tests.engine_waits import wait_s
 from ruddersaddle_serving.tests.fixed_clocks import FixedClockTest
 from ruddersaddle_serving.trackers import Assignment, Notice, Progress, Reach, Trackers
-from ruddersaddle_serving.upstream_entries import UpstreamEntry, UpstreamStart
+from ruddersaddle_serving.upstream_entries import UpstreamEntry, UpstreamInstance
 from ruddersaddle_serving.upstream_lists import UpstreamList
 
 ENGINE = UpstreamId("e-1")
@@ -161,7 +161,7 @@
             teller = next(each for each in fleet if not each.is_summing)
             teller.tell(Notice(ENGINE, 1, Progress.REPORTED, leave=Leave(RequestId("q"))))
             self.settle(fleet)
-            known = [each for each in fleet if each.upstreams.is_leaving(UpstreamStart(ENGINE))]
+            known = [each for each in fleet if each.upstreams.is_leaving(UpstreamInstance(ENGINE))]
             with self.subTest(hosts=len(fleet)):
                 self.assertEqual(len(known), knowing)
 
--- a/libs/serving/ruddersaddle_serving/tests/test_placements.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_placements.py
@@ -257,7 +257,7 @@
         self.now += JOIN_S
 
     def turn_cold(self, tracker: Tracker) -> None:
-        self.upstreams.cold.take(tracker.entry.start, Heartbeat(1, 3.0))
+        self.upstreams.cold.take(tracker.entry.instance, Heartbeat(1, 3.0))
 
     def evacuate(self, hall: str) -> None:
         self.publications.evacuations.take(Evacuation(HallId(hall), in_force=True))
@@ -325,7 +325,7 @@
         self.assertEqual(self.placement.check_open(self.first).ran, Ran.NOT_RUN)
         self.evacuate("h")
         self.assertIn("evacuated", self.placement.check_open(self.second).detail)
-        self.upstreams.note_leaving(self.second.entry.start, RequestId("q"), "host")
+        self.upstreams.note_leaving(self.second.entry.instance, RequestId("q"), "host")
         self.assertIn("leaves", self.placement.check_open(self.second).detail)
 
 
--- a/libs/serving/ruddersaddle_serving/tests/test_upstream_lists.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_upstream_lists.py
@@ -83,7 +83,7 @@
         self.end_outage()
         self.upstreams.replace_told([], [], self.now)
         self.assertEqual(self.ids(), [ENTRY.id])
-        self.upstreams.replace_told([], [], self.now, [ENTRY.start])
+        self.upstreams.replace_told([], [], self.now, [ENTRY.instance])
         self.assertEqual(self.ids(), [])
 
     def test_entry_that_comes_back_after_an_outage_stays(self) -> None:
@@ -102,7 +102,7 @@
     def test_leave_said_in_an_answer_outlasts_entries_that_say_otherwise(self) -> None:
         ready = msgspec.structs.replace(ENTRY, born_ms=1000)
         self.upstreams.put(ready)
-        self.upstreams.note_leaving(ready.start, RequestId("q"), "host")
+        self.upstreams.note_leaving(ready.instance, RequestId("q"), "host")
         self.assertEqual(self.ids(), [])
         for bring_back in (
             lambda: self.upstreams.put(ready),
@@ -119,7 +119,7 @@
 
     def test_leave_told_before_its_entry_is_read_counts(self) -> None:
         started = UpstreamList()
-        self.upstreams.note_leaving(ENTRY.start, RequestId("q"), "host")
+        self.upstreams.note_leaving(ENTRY.instance, RequestId("q"), "host")
         started.take_leaving(self.upstreams.leaving())
         started.replace([ENTRY], self.now)
         self.assertEqual(started.of_pool(ENTRY.pool), [])
@@ -182,7 +182,7 @@
 
     def test_start_that_others_know_to_have_left_is_not_read_from_a_copy(self) -> None:
         started = UpstreamList()
-        started.replace_told([], [], self.now, [ENTRY.start])
+        started.replace_told([], [], self.now, [ENTRY.instance])
         started.note_return()
         started.replace([ENTRY], self.now)
         self.assertEqual(list(started.by_id), [])
@@ -204,7 +204,7 @@
     def test_what_others_know_to_have_left_is_taken_out_by_a_host_that_has_just_started(
         self,
     ) -> None:
-        self.upstreams.note_gone([ENTRY.start])
+        self.upstreams.note_gone([ENTRY.instance])
         self.assertEqual(self.ids(), [ENTRY.id])
         self.upstreams.drop_gone()
         self.assertEqual(self.ids(), [])
--- a/libs/serving/ruddersaddle_serving/tests/test_upstream_shares.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_upstream_shares.py
@@ -81,7 +81,7 @@
 
     def turn_cold(self, cold_s: float = COLD_S) -> None:
         for each in self.shares:
-            each.upstreams.cold.take(self.upstream.start, Heartbeat(2, cold_s))
+            each.upstreams.cold.take(self.upstream.instance, Heartbeat(2, cold_s))
 
     def send(self) -> int:
         """Let each host send as much as it may; return how many requests leave."""
--- a/libs/serving/ruddersaddle_serving/trackers.py
+++ b/libs/serving/ruddersaddle_serving/trackers.py
@@ -23,7 +23,7 @@
 )
 from ruddersaddle_serving.silences import TOLD_TRUST_S, Silence
 from ruddersaddle_serving.upstream_connections import UpstreamConnections
-from ruddersaddle_serving.upstream_entries import UpstreamEntry, UpstreamStart
+from ruddersaddle_serving.upstream_entries import UpstreamEntry, UpstreamInstance
 
 logger = logging.getLogger(__name__)
 
@@ -272,7 +272,7 @@
         limit = self.reported.rate_limit.after(report, request, is_ordinary)
         if limit is None and not report.leaving:
             return None
-        start = self.entry.start
+        start = self.entry.instance
         leave = Leave(request) if report.leaving else None
         return Notice(
             start.id, 0, Progress.REPORTED, born_ms=start.born_ms, limit=limit, leave=leave
@@ -284,7 +284,7 @@
         elif self.reported.rest(rest_s):
             logger.info(
                 "Upstream %s wants nothing for %.1f s.",
-                self.entry.start,
+                self.entry.instance,
                 rest_s,
                 extra={"request": request},
             )
@@ -292,7 +292,7 @@
     def _warn_unreadable(self, failure: Failure, request: RequestId | None) -> None:
         logger.warning(
             "Answer of upstream %s can't be read: %s.",
-            self.entry.start,
+            self.entry.instance,
             failure.detail,
             extra={"request": request},
         )
@@ -305,7 +305,7 @@
         if change is not LimitChange.NONE:
             logger.info(
                 "Limit of upstream %s has %s: %.2f requests a second.",
-                self.entry.start,
+                self.entry.instance,
                 change.value,
                 news.per_s,
                 extra={
@@ -343,7 +343,7 @@
 
     def __init__(self) -> None:
         self.by_id: dict[UpstreamId, Tracker] = {}
-        self._reported_by_start: dict[UpstreamStart, Reported] = {}
+        self._reported_by_start: dict[UpstreamInstance, Reported] = {}
         """What starts said whose entries were taken out, the latest last; entries come back."""
         self._memory_by_pool: dict[PoolId, int] = {}
 
@@ -368,7 +368,7 @@
             # under way there keep the tracker that they began with.
             if tracker is not None:
                 tracker.connections.close()
-            reported = self._reported_by_start.pop(entry.start, None)
+            reported = self._reported_by_start.pop(entry.instance, None)
             tracker = Tracker(entry, self._memory_tokens(entry), reported)
             tracker.load.pace = self._usual_pace(entry.pool)
             self._note_predecessors(tracker)
@@ -401,7 +401,7 @@
     def _forget(self, tracker: Tracker) -> None:
         tracker.connections.close()
         if tracker.reported.is_bounding:
-            self._reported_by_start[tracker.entry.start] = tracker.reported
+            self._reported_by_start[tracker.entry.instance] = tracker.reported
         if len(self._reported_by_start) > REPORTED_MAX:
             del self._reported_by_start[next(iter(self._reported_by_start))]
 
--- a/libs/serving/ruddersaddle_serving/upstream_entries.py
+++ b/libs/serving/ruddersaddle_serving/upstream_entries.py
@@ -4,7 +4,7 @@
 from ruddersaddle_base.ids import HallId, ModelId, PoolId, UpstreamId
 
 
-class UpstreamStart(msgspec.Struct, frozen=True, array_like=True):
+class UpstreamInstance(msgspec.Struct, frozen=True, array_like=True):
     """One start of an upstream; under one id there may be several."""
 
     id: UpstreamId
@@ -40,9 +40,9 @@
     """With an entry as it was read; lists of entries keep it apart."""
 
     @property
-    def start(self) -> UpstreamStart:
+    def instance(self) -> UpstreamInstance:
         """Which start of the upstream this is."""
-        return UpstreamStart(self.id, self.born_ms)
+        return UpstreamInstance(self.id, self.born_ms)
 
     def is_later_than(self, other: "UpstreamEntry") -> bool:
         """Return whether this is a later start under the same id than another entry's."""
--- a/libs/serving/ruddersaddle_serving/upstream_lists.py
+++ b/libs/serving/ruddersaddle_serving/upstream_lists.py
@@ -9,7 +9,7 @@
 from ruddersaddle_base.ids import PoolId, RequestId, UpstreamId
 
 from ruddersaddle_serving.cold_starts import ColdStarts
-from ruddersaddle_serving.upstream_entries import UpstreamEntry, UpstreamStart
+from ruddersaddle_serving.upstream_entries import UpstreamEntry, UpstreamInstance
 
 logger = logging.getLogger(__name__)
 
@@ -52,9 +52,9 @@
         """Upstreams that have written since the last outage: when they go, they leave."""
         self._outage_until = 0.0
         self._copy_until = float("-inf")
-        self._leaving: dict[UpstreamStart, None] = {}
+        self._leaving: dict[UpstreamInstance, None] = {}
         """Starts that said in an answer that they leave, the latest last."""
-        self._gone: dict[UpstreamStart, None] = {}
+        self._gone: dict[UpstreamInstance, None] = {}
         """Starts whose entries were taken out, the latest last."""
 
     @property
@@ -94,20 +94,20 @@
         """Remember that lists may be of the store's copy for a while, also those of other hosts."""
         self._copy_until = clocks.now_s() + RETURN_MEMORY_S
 
-    def _is_over(self, start: UpstreamStart) -> bool:
+    def _is_over(self, instance: UpstreamInstance) -> bool:
         """Return whether a start that a copy names has left before."""
-        return clocks.now_s() < self._copy_until and start in self._gone
+        return clocks.now_s() < self._copy_until and instance in self._gone
 
     def replace(self, entries: Iterable[UpstreamEntry], asked_at: float) -> None:
         """Take a whole list of the store."""
-        self._replace([entry for entry in entries if not self._is_over(entry.start)], asked_at)
+        self._replace([entry for entry in entries if not self._is_over(entry.instance)], asked_at)
 
     def replace_told(
         self,
         entries: Iterable[UpstreamEntry],
         lapsing: Collection[UpstreamId],
         asked_at: float,
-        gone: Collection[UpstreamStart] = (),
+        gone: Collection[UpstreamInstance] = (),
     ) -> None:
         """Take a whole list of another host, which of it that host keeps for their grace, and what
         it has taken out for good.
@@ -115,20 +115,20 @@
         What it keeps stays where it is known, for the same grace, and comes back nowhere: told as
         if it lived, two hosts kept it for one another for good.
         """
-        known = {entry.start for entry in self.by_id.values()}
-        kept = {each.start for each in entries if each.id in lapsing}
+        known = {entry.instance for entry in self.by_id.values()}
+        kept = {each.instance for each in entries if each.id in lapsing}
         fresh = [
-            each for each in entries if each.id not in lapsing and not self._is_over(each.start)
+            each for each in entries if each.id not in lapsing and not self._is_over(each.instance)
         ]
-        for left in set(gone) - {each.start for each in fresh}:
+        for left in set(gone) - {each.instance for each in fresh}:
             if left in known:
                 self.drop(left.id)
             else:
                 _remember(self._gone, left)
         until = clocks.now_s() + LAPSE_GRACE_S
-        for start in known & kept - set(gone):
-            self._kept_until_by_id.setdefault(start.id, until)
-        self._replace(fresh, asked_at, {start.id for start in kept})
+        for instance in known & kept - set(gone):
+            self._kept_until_by_id.setdefault(instance.id, until)
+        self._replace(fresh, asked_at, {instance.id for instance in kept})
 
     @property
     def lapsing(self) -> tuple[UpstreamId, ...]:
@@ -159,16 +159,16 @@
         """Take one entry."""
         known = self.by_id.get(entry.id)
         if known is not None and known.is_later_than(entry):
-            logger.info("Entry of %s is of an earlier start than the known one.", entry.start)
+            logger.info("Entry of %s is of an earlier start than the known one.", entry.instance)
             return
         if entry.heartbeat is not None:
             # A change of the entry is told to all hosts; a heartbeat is none.
-            self.cold.take(entry.start, entry.heartbeat)
+            self.cold.take(entry.instance, entry.heartbeat)
             entry = msgspec.structs.replace(entry, heartbeat=None)
         self._kept_until_by_id.pop(entry.id, None)
-        self._gone.pop(entry.start, None)
+        self._gone.pop(entry.instance, None)
         is_same = known is not None and not entry.is_later_than(known)
-        if (is_same and known.leaving) or entry.start in self._leaving:
+        if (is_same and known.leaving) or entry.instance in self._leaving:
             # A leave is never taken back within one start of an upstream.
             entry = msgspec.structs.replace(entry, leaving=True)
         self.by_id[entry.id] = entry
@@ -217,59 +217,61 @@
         entry = self.by_id.pop(upstream, None)
         if entry is not None:
             self.revision += 1
-            _remember(self._gone, entry.start)
-            self.cold.keep_only(self.starts())
+            _remember(self._gone, entry.instance)
+            self.cold.keep_only(self.instances())
             logger.info("Upstream %s of %s at %s is gone.", upstream, entry.pool, entry.address)
 
-    def note_leaving(self, start: UpstreamStart, request: RequestId | None, teller: str) -> None:
+    def note_leaving(
+        self, instance: UpstreamInstance, request: RequestId | None, teller: str
+    ) -> None:
         """Take that a start said that it leaves, in the answer to a request of a host, `teller`.
 
         Its entry may say otherwise until the store takes its next write.
         """
-        if start not in self._leaving:
+        if instance not in self._leaving:
             extra = {"request": request, "told_by": teller}
-            logger.info("Upstream %s says that it leaves.", start, extra=extra)
-            self.take_leaving([start])
+            logger.info("Upstream %s says that it leaves.", instance, extra=extra)
+            self.take_leaving([instance])
 
-    def take_leaving(self, starts: Iterable[UpstreamStart]) -> None:
+    def take_leaving(self, instances: Iterable[UpstreamInstance]) -> None:
         """Take which starts said that they leave."""
-        for start in starts:
-            if start in self._leaving:
+        for instance in instances:
+            if instance in self._leaving:
                 continue
-            _remember(self._leaving, start)
-            entry = self.by_id.get(start.id)
-            if entry is not None and entry.start == start:
+            _remember(self._leaving, instance)
+            entry = self.by_id.get(instance.id)
+            if entry is not None and entry.instance == instance:
                 self.put(entry)
 
-    def is_leaving(self, start: UpstreamStart) -> bool:
+    def is_leaving(self, instance: UpstreamInstance) -> bool:
         """Return whether a start said that it leaves, or its entry does."""
-        entry = self.by_id.get(start.id)
-        return start in self._leaving or (
-            entry is not None and entry.start == start and entry.leaving
+        entry = self.by_id.get(instance.id)
+        return instance in self._leaving or (
+            entry is not None and entry.instance == instance and entry.leaving
         )
 
-    def leaving(self) -> tuple[UpstreamStart, ...]:
+    def leaving(self) -> tuple[UpstreamInstance, ...]:
         """Return the starts that said lately that they leave, for other hosts."""
         return tuple(self._leaving)[-TOLD_MAX:]
 
-    def recently_gone(self) -> tuple[UpstreamStart, ...]:
+    def recently_gone(self) -> tuple[UpstreamInstance, ...]:
         """Return the starts that were taken out last, for hosts that have just started."""
         return tuple(self._gone)[-TOLD_MAX:]
 
-    def note_gone(self, starts: Iterable[UpstreamStart]) -> None:
+    def note_gone(self, instances: Iterable[UpstreamInstance]) -> None:
         """Take which starts have left, as another host knows."""
-        for start in starts:
-            _remember(self._gone, start)
+        for instance in instances:
+            _remember(self._gone, instance)
 
     def drop_gone(self) -> None:
         """Take out starts that others know to have left: the store may name them from a copy."""
         for entry in list(self.by_id.values()):
-            if entry.start in self._gone:
+            if entry.instance in self._gone:
                 self.drop(entry.id)
 
-    def starts(self) -> list[UpstreamStart]:
+    def instances(self) -> list[UpstreamInstance]:
         """Return all starts that are listed."""
-        return [entry.start for entry in self.by_id.values()]
+        return [entry.instance for entry in self.by_id.values()]
 
     def of_pool(self, pool: PoolId) -> list[UpstreamEntry]:
         """Return the entries of a pool that take new work."""
@@ -277,9 +279,9 @@
         return [each for each in self.by_id.values() if each.pool == pool and not each.leaving]
 
 
-def _remember(starts: dict[UpstreamStart, None], start: UpstreamStart) -> None:
+def _remember(instances: dict[UpstreamInstance, None], instance: UpstreamInstance) -> None:
     """Put a start last, and forget the first one where there are too many."""
-    starts.pop(start, None)
-    starts[start] = None
-    if len(starts) > REMEMBERED_MAX:
-        del starts[next(iter(starts))]
+    instances.pop(instance, None)
+    instances[instance] = None
+    if len(instances) > REMEMBERED_MAX:
+        del instances[next(iter(instances))]
--- a/libs/serving/ruddersaddle_serving/upstream_shares.py
+++ b/libs/serving/ruddersaddle_serving/upstream_shares.py
@@ -20,7 +20,7 @@
 from ruddersaddle_serving.publications import Publications
 from ruddersaddle_serving.routes import Pool
 from ruddersaddle_serving.trackers import Tracker
-from ruddersaddle_serving.upstream_entries import UpstreamStart
+from ruddersaddle_serving.upstream_entries import UpstreamInstance
 from ruddersaddle_serving.upstream_lists import UpstreamList
 
 WINDOW_S = 1.05
@@ -66,7 +66,7 @@
         """Requests that this host sent to cold upstreams."""
         self.limited_sent = 0
         """Requests that this host sent to upstreams that named a limit."""
-        self._ranked_by_start: dict[UpstreamStart, list[str]] = {}
+        self._ranked_by_start: dict[UpstreamInstance, list[str]] = {}
         self._ranked_digest = 0
         """Digest of the list of hosts that the ranks are of."""
 
@@ -83,7 +83,7 @@
             tracker.silence.ended_at,
             self.publications.evacuations.ended_at(tracker.entry.hall),
         )
-        told_until = self.upstreams.cold.until(tracker.entry.start)
+        told_until = self.upstreams.cold.until(tracker.entry.instance)
         return max(told_until, again_at + pool.cold_start_s)
 
     def is_cold(self, tracker: Tracker) -> bool:
@@ -123,14 +123,14 @@
     def _allowance(self, tracker: Tracker, per_s: float) -> Allowance:
         if clocks.now_s() < self.hosts.known_at + JOIN_S:
             return NOTHING
-        return share_out(per_s, self._rank(tracker.entry.start), self.hosts.own_id)
+        return share_out(per_s, self._rank(tracker.entry.instance), self.hosts.own_id)
 
-    def _rank(self, start: UpstreamStart) -> list[str]:
+    def _rank(self, start: UpstreamInstance) -> list[str]:
         if self._ranked_digest != self.hosts.digest:
             self._ranked_digest = self.hosts.digest
             self._ranked_by_start.clear()
         if start not in self._ranked_by_start:
-            known = set(self.upstreams.starts())
+            known = set(self.upstreams.instances())
             self._ranked_by_start = {
                 each: ranked for each, ranked in self._ranked_by_start.items() if each in known
             }
