--- a/libs/serving/ruddersaddle_serving/crash_shares.py
+++ b/libs/serving/ruddersaddle_serving/crash_shares.py
@@ -147,7 +147,7 @@
             Crash(start, tuple(found)) for start, found in unsent.fingerprints_by_start.items()
         )
         news = CrashNews(self.hosts.own.address, crashes, tuple(unsent.cleared), hop)
-        self.peers.tell_all(self._targets(hop), news)
+        self.peers.broadcast(self._targets(hop), news)
 
     @property
     def _is_reader_of_many(self) -> bool:
--- a/libs/serving/ruddersaddle_serving/load_shares.py
+++ b/libs/serving/ruddersaddle_serving/load_shares.py
@@ -129,7 +129,7 @@
         message = Notices(self.hosts.own.address, tuple(self._unsent))
         self._unsent = []
         targets = self.hosts.addresses() if self.is_direct else [self.hosts.hall_reader()]
-        self.peers.tell_all([each for each in targets if not self._is_own(each)], message)
+        self.peers.broadcast([each for each in targets if not self._is_own(each)], message)
 
     def take_notices(self, message: Notices) -> None:
         """Take the steps of another host's requests."""
@@ -166,7 +166,7 @@
         """Tell other readers the sums of this hall, or this hall the totals."""
         message = LoadSums(self.hosts.own.address, is_total, self._sums(is_total))
         targets = self.hosts.hall_addresses() if is_total else self._other_readers()
-        self.peers.tell_all(targets, message)
+        self.peers.broadcast(targets, message)
 
     def _other_readers(self) -> list[str]:
         own_hall = self.hosts.own.hall
--- a/libs/serving/ruddersaddle_serving/neighbour_messages.py
+++ b/libs/serving/ruddersaddle_serving/neighbour_messages.py
@@ -17,7 +17,7 @@
 from ruddersaddle_serving.upstream_entries import UpstreamEntry, UpstreamInstance
 
 
-class AskNews(msgspec.Struct, frozen=True, tag="ask_news"):
+class StateRequest(msgspec.Struct, frozen=True, tag="ask_news"):
     """Asks for what the peer believes and the asker may not have yet."""
 
     host: HostId
@@ -35,7 +35,7 @@
     """Position of the list of hosts that the asker knows."""
 
 
-class News(msgspec.Struct, frozen=True, tag="news"):
+class StateUpdate(msgspec.Struct, frozen=True, tag="news"):
     """What a peer believes, with the age of each belief when it answered, in seconds."""
 
     age_s: float
@@ -95,19 +95,19 @@
     version: int
 
 
-class Hello(msgspec.Struct, frozen=True, tag="hello"):
+class Ping(msgspec.Struct, frozen=True, tag="hello"):
     """Asks for any answer, so that a connection that is silent for good is found."""
 
 
-class Noted(msgspec.Struct, frozen=True, tag="noted"):
+class Ack(msgspec.Struct, frozen=True, tag="noted"):
     """Answers a message that asks nothing."""
 
 
 NeighbourMessage = (
-    AskNews
-    | News
+    StateRequest
+    | StateUpdate
     | Changed
-    | Hello
+    | Ping
     | Loading
     | Loaded
     | Notices
@@ -116,5 +116,5 @@
     | PartsNews
     | StoreLost
     | CrashNews
-    | Noted
+    | Ack
 )
--- a/libs/serving/ruddersaddle_serving/neighbours.py
+++ b/libs/serving/ruddersaddle_serving/neighbours.py
@@ -17,14 +17,14 @@
 from ruddersaddle_serving.kept_parts import KeptParts
 from ruddersaddle_serving.load_shares import LoadShares, LoadSums, Notices
 from ruddersaddle_serving.neighbour_messages import (
-    AskNews,
+    Ack,
     Changed,
-    Hello,
     Loaded,
     Loading,
     NeighbourMessage,
-    News,
-    Noted,
+    Ping,
+    StateRequest,
+    StateUpdate,
 )
 from ruddersaddle_serving.part_news import AskParts, StoreLost, tell_parts
 from ruddersaddle_serving.peers import Peers
@@ -84,7 +84,7 @@
         self.upstreams = upstreams
         self.trackers = trackers
         self.kept = kept
-        self.peers = Peers(self.address, self._answer, NeighbourMessage)
+        self.peers = Peers(self.address, self._handle, NeighbourMessage)
         self.list = HostList(hosts, store)
         self.list.listeners.append(lambda: self.peers.keep_only(set(hosts.addresses())))
         self.loads = LoadShares(hosts, self.peers, trackers, upstreams)
@@ -93,7 +93,7 @@
         self._crashes_revision_by_address: dict[str, int] = {}
         self._asked_at = float("-inf")
         self._seen = (0, 0)
-        self.news_at = 0.0
+        self.load_message_at = 0.0
         """When the last word of an engine being loaded came."""
 
     def start(self) -> None:
@@ -101,7 +101,7 @@
         self.publications.held_until = clocks.now_s() + START_HOLD_S
         self.peers.start()
         self.list.start()
-        spawn_forever("beliefs", self._keep_young)
+        spawn_forever("beliefs", self._refresh)
         spawn_forever("checks", self._check_connections)
         self.loads.start()
         self.crashes.start()
@@ -113,7 +113,7 @@
 
     # Beliefs
 
-    def _ask_at_start(self) -> None:
+    def _request_state_at_start(self) -> None:
         """Ask some hosts what they know before what the store says counts as the newest.
 
         It may have come back from a copy, with a key that was taken away or an upstream that left.
@@ -125,31 +125,31 @@
         asked = random.sample(others, min(START_ASKS, len(others)))
         answers: LightQueue[bool] = LightQueue()
         for address in asked:
-            eventlet.spawn(self._ask_for, address, answers)
+            eventlet.spawn(self._request_state_into, address, answers)
         # The first answer is enough: hosts know of a change within a second of one another.
         any(answers.get() for _ in asked)
         self.upstreams.drop_gone()
         self.publications.held_until = float("-inf")
 
-    def _ask_for(self, address: str, answers: LightQueue[bool]) -> None:
+    def _request_state_into(self, address: str, answers: LightQueue[bool]) -> None:
         """Ask one peer, and put whether it answered, also where asking fails by a fault."""
         answered = False
         try:
-            answered = self._ask(address)
+            answered = self._request_state(address)
         finally:
             answers.put(answered)
 
-    def _keep_young(self) -> None:
-        self._ask_at_start()
+    def _refresh(self) -> None:
+        self._request_state_at_start()
         while True:
             eventlet.sleep(LOOK_S)
-            self._tell_changes()
+            self._broadcast_changes()
             age_s = max(self.publications.age_s, self.upstreams.age_s)
             since_s = clocks.now_s() - self._asked_at
             if since_s > ASK_PAUSE_S and (age_s > OLD_S or not self.hosts.is_reader()):
-                self._ask_reader()
+                self._request_state_of_reader()
 
-    def _tell_changes(self) -> None:
+    def _broadcast_changes(self) -> None:
         """Let this hall, and the other readers, ask at once for what this reader has learnt.
 
         A reader that the store turns away hears of a change from another one, within milliseconds.
@@ -160,9 +160,9 @@
         self._seen = seen
         if self.hosts.is_reader():
             told = {*self.hosts.hall_addresses(), *self.hosts.readers()} - {self.address}
-            self.peers.tell_all(sorted(told), Changed(self.address))
+            self.peers.broadcast(sorted(told), Changed(self.address))
 
-    def _ask_reader(self) -> None:
+    def _request_state_of_reader(self) -> None:
         """Ask the readers in turn until one has something young to tell."""
         self._asked_at = clocks.now_s()
         others = [each for each in self.hosts.readers() if each != self.address]
@@ -170,7 +170,7 @@
         if not others and known:
             others = [random.choice(known)]
         for address in others:
-            if self._ask(address) and self.publications.age_s < OLD_S:
+            if self._request_state(address) and self.publications.age_s < OLD_S:
                 return
 
     def _check_connections(self) -> None:
@@ -183,17 +183,17 @@
                 continue
             turn += 1
             address = connected[turn % len(connected)]
-            if isinstance(self.peers.ask(address, Hello(), ASK_S), Failure):
+            if isinstance(self.peers.ask(address, Ping(), ASK_S), Failure):
                 self.hosts.note_silent(address)
             else:
                 self.hosts.note_heard(address)
 
-    def _ask(self, address: str) -> bool:
+    def _request_state(self, address: str) -> bool:
         """Ask one peer; return whether it answered."""
         asked_at = clocks.now_s()
         revision = self._revision_by_address.get(address, -1)
         hosts = self.hosts
-        question = AskNews(
+        question = StateRequest(
             hosts.own_id,
             hosts.own,
             self.publications.version,
@@ -204,16 +204,16 @@
             hosts.position,
         )
         answer = self.peers.ask(address, question, ASK_S)
-        if not isinstance(answer, News):
+        if not isinstance(answer, StateUpdate):
             hosts.note_silent(address)
             return False
         hosts.note_heard(address)
-        self._take(answer, asked_at)
+        self._apply_state(answer, asked_at)
         self._revision_by_address[address] = answer.entries_revision
         self._crashes_revision_by_address[address] = answer.crashes_revision
         return True
 
-    def _take(self, news: News, asked_at: float) -> None:
+    def _apply_state(self, news: StateUpdate, asked_at: float) -> None:
         """Take a peer's beliefs, dated from when the question left."""
         self._learn_era(news.known_era)
         if clocks.now_s() < self.publications.held_until:
@@ -225,11 +225,11 @@
             self.publications.take(news.published)
         end = StorePosition(news.era, news.end)
         if end >= self.publications.end:
-            self._take_evacuations(news.evacuated, end)
+            self._apply_evacuations(news.evacuated, end)
             self.publications.confirm(asked_at - news.age_s, end)
         if news.hosts is not None:
             self.list.take(news.hosts, news.hosts_position)
-        self._take_crashes(news, asked_at)
+        self._apply_crashes(news, asked_at)
         # What is cold is taken before the entries, so that none of them is ever thought warm.
         self.upstreams.cold.take_all(news.cold)
         self.upstreams.take_leaving(news.leaving)
@@ -241,7 +241,7 @@
         else:
             self.upstreams.replace_told(news.entries, news.lapsing, entries_at, news.gone)
 
-    def _take_evacuations(self, halls: tuple[HallId, ...] | None, end: StorePosition) -> None:
+    def _apply_evacuations(self, halls: tuple[HallId, ...] | None, end: StorePosition) -> None:
         if halls is not None:
             is_copy = self.publications.is_of_later_era(end)
             self.publications.evacuations.replace(halls, is_copy)
@@ -250,21 +250,21 @@
         if era != UNTOLD:
             self.store.eras.learn(era)
 
-    def _take_crashes(self, news: News, asked_at: float) -> None:
+    def _apply_crashes(self, news: StateUpdate, asked_at: float) -> None:
         self.crashes.take_cleared(news.cleared)
         self.crashes.take_records(news.crashes or ())
         self.crashes.confirm(asked_at - news.crashes_age_s)
 
-    def _answer(self, message: NeighbourMessage) -> NeighbourMessage:
+    def _handle(self, message: NeighbourMessage) -> NeighbourMessage:
         match message:
-            case AskNews():
-                return self._tell(message)
+            case StateRequest():
+                return self._reply_state(message)
             case Loading():
-                self.note_loading(message)
+                self.handle_loading(message)
             case Loaded():
-                self.note_loaded(message)
+                self.handle_loaded(message)
             case Changed():
-                self._note_changed(message)
+                self._handle_changed(message)
             case Notices():
                 self.loads.take_notices(message)
             case LoadSums():
@@ -274,10 +274,10 @@
             case AskParts():
                 return tell_parts(self.kept, message)
             case StoreLost():
-                self._note_store_lost(message)
-        return Noted()
+                self._handle_store_lost(message)
+        return Ack()
 
-    def _tell(self, question: AskNews) -> News:
+    def _reply_state(self, question: StateRequest) -> StateUpdate:
         self._learn_era(question.era)
         self.hosts.note_heard(question.record.address)
         self.hosts.add(question.host, question.record)
@@ -291,7 +291,7 @@
         versions = publications.version_by_model
         records = self.crashes.records
         knows_crashes = question.crashes_revision == records.revision
-        return News(
+        return StateUpdate(
             age_s=publications.age_s,
             end=publications.end.offset,
             era=publications.end.era,
@@ -317,7 +317,7 @@
             leaving=upstreams.leaving(),
         )
 
-    def _has_list_for(self, question: AskNews) -> bool:
+    def _has_list_for(self, question: StateRequest) -> bool:
         """Return whether this host's list of hosts is better than the asker's.
 
         Whoever has a newer one tells it; of the same list a reader knows who asked it since.
@@ -327,50 +327,50 @@
             return question.hosts_position < hosts.position
         return question.hosts_digest != hosts.digest and hosts.is_reader()
 
-    def _note_changed(self, message: Changed) -> None:
+    def _handle_changed(self, message: Changed) -> None:
         if message.address in self.hosts.addresses():
-            self._ask(message.address)
+            self._request_state(message.address)
 
     # Context stores
 
-    def tell_store_lost(self, store: StoreId) -> None:
+    def broadcast_store_lost(self, store: StoreId) -> None:
         """Tell this hall that a store takes no connection, where this host asks it for others."""
         if self.hosts.is_reader():
-            self.peers.tell_all(self.hosts.hall_addresses(), StoreLost(store))
+            self.peers.broadcast(self.hosts.hall_addresses(), StoreLost(store))
 
-    def _note_store_lost(self, message: StoreLost) -> None:
+    def _handle_store_lost(self, message: StoreLost) -> None:
         kept = self.kept.by_id.get(message.store)
         if kept is not None:
             kept.note_lost()
 
     # Engines that are to load weights
 
-    def note_loading(self, message: Loading) -> None:
+    def handle_loading(self, message: Loading) -> None:
         """Send no new work to an engine for a while."""
-        self.news_at = clocks.now_s()
+        self.load_message_at = clocks.now_s()
         tracker = self.trackers.by_id.get(message.upstream)
         if tracker is not None:
             tracker.avoided_until = clocks.now_s() + message.seconds
 
-    def note_loaded(self, message: Loaded) -> None:
+    def handle_loaded(self, message: Loaded) -> None:
         """Take that an engine has new weights and takes work again."""
-        self.news_at = clocks.now_s()
+        self.load_message_at = clocks.now_s()
         tracker = self.trackers.by_id.get(message.upstream)
         if tracker is not None:
             tracker.take_version(message.model, message.version)
             tracker.avoided_until = 0.0
 
-    def tell_all(self, message: Loading | Loaded) -> None:
+    def broadcast(self, message: Loading | Loaded) -> None:
         """Tell this host and all others; whoever misses it learns it from entries later."""
-        self._answer(message)
+        self._handle(message)
         for address in self.hosts.addresses():
-            eventlet.spawn(self._tell_one, address, message)
+            eventlet.spawn(self._send_load_message, address, message)
 
-    def _tell_one(self, address: str, message: Loading | Loaded) -> None:
+    def _send_load_message(self, address: str, message: Loading | Loaded) -> None:
         if isinstance(self.peers.ask(address, message, ASK_S), Failure):
             self.hosts.note_silent(address)
 
 
-def place_in_line(duty: str, neighbours: Neighbours) -> int:
+def rank_for_duty(duty: str, neighbours: Neighbours) -> int:
     """Return this host's place among the live ones for a duty; 0 comes first."""
     return rank_names(duty, neighbours.live_hosts).index(neighbours.address)
--- a/libs/serving/ruddersaddle_serving/part_relays.py
+++ b/libs/serving/ruddersaddle_serving/part_relays.py
@@ -32,7 +32,7 @@
     def start(self) -> None:
         """Start the task."""
         self.kept.watches = self.watches
-        self.kept.tell_lost = self.neighbours.tell_store_lost
+        self.kept.tell_lost = self.neighbours.broadcast_store_lost
         # Waiting for the next look instead, hosts that had all been lost fetched nothing for their
         # first second, and read 140,000 of 300,000 tokens of a day again in it.
         self.neighbours.list.listeners.append(self.kept.start_followers)
--- a/libs/serving/ruddersaddle_serving/peers.py
+++ b/libs/serving/ruddersaddle_serving/peers.py
@@ -127,7 +127,7 @@
         answer = self.handler(message)
         if envelope.exchange == NO_ANSWER:
             return
-        self._send(envelope.sender, self._wrap(envelope.exchange, True, answer))
+        self._send_envelope(envelope.sender, self._wrap(envelope.exchange, True, answer))
 
     def _wrap(self, exchange: int, is_answer: bool, message: Message) -> Envelope:
         return Envelope(self.address, exchange, is_answer, msgspec.Raw(encode_packed(message)))
@@ -143,7 +143,7 @@
         signal: Signal = Signal()
         self._signal_by_exchange[exchange] = signal
         try:
-            if not self._send(address, self._wrap_question(address, exchange, message)):
+            if not self._send_envelope(address, self._wrap_question(address, exchange, message)):
                 return self._gone(address, "not connected")
             with eventlet.Timeout(timeout_s, False):
                 answer = signal.wait()
@@ -166,11 +166,11 @@
             logger.info("Connection to %s is closed, %s.", address, reason)
             socket.close()
 
-    def tell(self, address: str, message: Message) -> None:
+    def send(self, address: str, message: Message) -> None:
         """Send a message that needs no answer; it is dropped where no connection stands yet."""
-        self.tell_all([address], message)
+        self.broadcast([address], message)
 
-    def tell_all(self, addresses: Iterable[str], message: Message) -> None:
+    def broadcast(self, addresses: Iterable[str], message: Message) -> None:
         """Send one message to many hosts, as `tell` does."""
         data = encode_packed(self._wrap(NO_ANSWER, False, message))
         for address in addresses:
@@ -178,7 +178,7 @@
             if socket.pipes:
                 self._send_data(address, socket, data)
 
-    def _send(self, address: str, envelope: Envelope) -> bool:
+    def _send_envelope(self, address: str, envelope: Envelope) -> bool:
         socket = self._socket_to(address)
         if not self._await_connection(socket):
             return False
--- a/libs/serving/ruddersaddle_serving/replaced_parts.py
+++ b/libs/serving/ruddersaddle_serving/replaced_parts.py
@@ -13,7 +13,7 @@
 
 from ruddersaddle_serving.context_stores import FETCH_S, TRUST_S, KeptStore
 from ruddersaddle_serving.kept_parts import KeptParts
-from ruddersaddle_serving.neighbours import Neighbours, place_in_line
+from ruddersaddle_serving.neighbours import Neighbours, rank_for_duty
 from ruddersaddle_serving.publications import Publications
 from ruddersaddle_serving.tasks import spawn_forever
 from ruddersaddle_serving.trackers import Trackers
@@ -66,7 +66,7 @@
         version = self._unused_before(model)
         if version <= 0 or self.stopping:
             return
-        if place_in_line(f"free/{model}", self.neighbours) > 0:
+        if rank_for_duty(f"free/{model}", self.neighbours) > 0:
             return
         for kept in self.kept.by_id.values():
             if kept.is_trusted:
--- a/libs/serving/ruddersaddle_serving/tests/restart_churns.py
+++ b/libs/serving/ruddersaddle_serving/tests/restart_churns.py
@@ -43,7 +43,7 @@
     peers = Peers(f"127.0.0.1:{own}", lambda message: message, str)
     addresses = [f"127.0.0.1:{port}" for port in others]
     while time.monotonic() < until:
-        peers.tell_all(addresses, "x" * random.choice(SIZES))
+        peers.broadcast(addresses, "x" * random.choice(SIZES))
     print("done", flush=True)
     # Listeners may be in a call of the library; its own end would wait for them.
     os._exit(0)
--- a/libs/serving/ruddersaddle_serving/tests/test_crash_shares.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_crash_shares.py
@@ -55,7 +55,7 @@
         self.is_cut = False
         self.sent = 0
 
-    def tell_all(self, addresses: list[str], message: CrashNews) -> None:
+    def broadcast(self, addresses: list[str], message: CrashNews) -> None:
         if self.is_cut:
             return
         for address in addresses:
--- a/libs/serving/ruddersaddle_serving/tests/test_host_lists.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_host_lists.py
@@ -41,7 +41,7 @@
         self.by_address = by_address
 
     def ask(self, address: str, question: NeighbourMessage, seconds: float) -> NeighbourMessage:
-        return self.by_address[address]._answer(question)
+        return self.by_address[address]._handle(question)
 
     def keep_only(self, addresses: set[str]) -> None:
         pass
@@ -77,7 +77,7 @@
         late = [self.make(number, 12) for number in range(12)]
         early = self.make(3, 5)
         asked = next(each for each in late if not each.hosts.is_reader())
-        early._ask(asked.address)
+        early._request_state(asked.address)
         self.assertEqual(self.count(early), 12)
 
     def test_list_of_a_reader_that_read_early_changes_nothing(self) -> None:
@@ -85,13 +85,13 @@
         for number in range(12):
             self.make(number, 5)
         for address in list(self.by_address):
-            host._ask(address)
+            host._request_state(address)
         self.assertEqual(self.count(host), 12)
 
     def test_reader_that_is_asked_by_one_who_knows_more_reads_again_soon(self) -> None:
         reader = self.make(0, 5)
         self.assertFalse(reader.list.is_old)
-        self.make(11, 12)._ask(reader.address)
+        self.make(11, 12)._request_state(reader.address)
         self.assertTrue(reader.list.is_old)
         reader.list.take_page(page_of(range(12)))
         self.assertFalse(reader.list.is_old)
@@ -105,7 +105,7 @@
             for each in fleet:
                 for address in each.hosts.readers():
                     if address != each.address:
-                        each._ask(address)
+                        each._request_state(address)
                 if each.list.is_old and each.hosts.is_reader():
                     each.list.take_page(page_of(range(30)))
         self.assertEqual({self.count(each) for each in fleet}, {30})
--- a/libs/serving/ruddersaddle_serving/tests/test_load_shares.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_load_shares.py
@@ -26,7 +26,7 @@
         self.by_address: dict[str, LoadShares] = {}
         self.sent = 0
 
-    def tell_all(self, addresses: list[str], message: Notices | LoadSums) -> None:
+    def broadcast(self, addresses: list[str], message: Notices | LoadSums) -> None:
         for address in addresses:
             self.sent += 1
             shares = self.by_address[address]
--- a/libs/serving/ruddersaddle_serving/tests/test_weight_rollouts.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_weight_rollouts.py
@@ -56,7 +56,7 @@
         self.trackers = Trackers()
         self.lease = mock.Mock(is_holder=True, may_order=True, fence=7, holder="host", lease_s=3.0)
         self.lease.take.return_value = True
-        self.neighbours = mock.Mock(news_at=0.0, live_hosts=["a"], address="a")
+        self.neighbours = mock.Mock(load_message_at=0.0, live_hosts=["a"], address="a")
         self.neighbours.loads.lag_s = 0.0
 
     def make(self, count: int, silent: set[str]) -> WeightRollouts:
@@ -148,7 +148,7 @@
             self.assertTrue(FenceLease(stores[0], Incarnation("frozen"), 3.0).take())
             lease = FenceLease(stores[1], Incarnation("second"), 3.0)
             hosts = rank_names(MODEL, ["a", "b"])
-            neighbours = mock.Mock(news_at=now, live_hosts=hosts, address=hosts[1])
+            neighbours = mock.Mock(load_message_at=now, live_hosts=hosts, address=hosts[1])
             publications = Publications()
             publications.take(ModelVersion(MODEL, 2))
             upstreams = UpstreamList()
--- a/libs/serving/ruddersaddle_serving/weight_rollouts.py
+++ b/libs/serving/ruddersaddle_serving/weight_rollouts.py
@@ -15,7 +15,7 @@
 
 from ruddersaddle_serving.fence_leases import FenceLease
 from ruddersaddle_serving.neighbour_messages import Loaded, Loading
-from ruddersaddle_serving.neighbours import Neighbours, place_in_line
+from ruddersaddle_serving.neighbours import Neighbours, rank_for_duty
 from ruddersaddle_serving.ports import Engines, Order, OrderOutcome
 from ruddersaddle_serving.publications import Publications
 from ruddersaddle_serving.tasks import spawn_forever
@@ -114,7 +114,7 @@
 
     def _watch_lease(self, model: ModelId) -> None:
         """Follow the lease if this host is among the next in line."""
-        if place_in_line(model, self.neighbours) < WATCHERS and not self.stopping:
+        if rank_for_duty(model, self.neighbours) < WATCHERS and not self.stopping:
             self.lease.watch()
 
     def _turn(self, tracker: Tracker, model: ModelId) -> tuple[float, int, int]:
@@ -157,7 +157,7 @@
         if self._left.get(model, 0) != left:
             self._left[model] = left
             self._moved_at = clocks.now_s()
-        self._moved_at = max(self._moved_at, self.neighbours.news_at)
+        self._moved_at = max(self._moved_at, self.neighbours.load_message_at)
 
     def _is_in_turn(self, model: ModelId) -> bool:
         """Return whether this host is first in line, or those before it do nothing."""
@@ -166,7 +166,7 @@
             return False
         if self.lease.is_holder:
             return True
-        rank = place_in_line(model, self.neighbours)
+        rank = rank_for_duty(model, self.neighbours)
         if rank == 0:
             return True
         return now - self._moved_at > STALLED_S + RANK_S * rank
@@ -175,18 +175,18 @@
 
     def _bring(self, tracker: Tracker, model: ModelId, version: int) -> None:
         try:
-            self.neighbours.tell_all(Loading(tracker.id, LOAD_MAX_S))
+            self.neighbours.broadcast(Loading(tracker.id, LOAD_MAX_S))
             eventlet.sleep(TELL_S + self.neighbours.loads.lag_s)
             if self._order(tracker, model, version) and self._await_version(
                 tracker, model, version
             ):
                 self.counts["loads"] += 1
-                self.neighbours.tell_all(Loaded(tracker.id, model, version))
+                self.neighbours.broadcast(Loaded(tracker.id, model, version))
                 return
             self._failed_at[tracker.id] = clocks.now_s()
             # It takes work again on the weights that it has, until it is tried again.
             held = tracker.version_by_model.get(model, 0)
-            self.neighbours.tell_all(Loaded(tracker.id, model, held))
+            self.neighbours.broadcast(Loaded(tracker.id, model, held))
         finally:
             self._begun.discard(tracker.id)
 
