--- a/libs/serving/ruddersaddle_serving/entry_hosts.py
+++ b/libs/serving/ruddersaddle_serving/entry_hosts.py
@@ -417,7 +417,7 @@
         """Serve on until the balancer has noticed, then until no request is under way."""
         fields = {"active": self.front.active, **self.signals.fields()}
         logger.info("Planned stop begins.", extra=fields)
-        eventlet.spawn(self.neighbours.list.leave)
+        eventlet.spawn(self.neighbours.host_list.leave)
         self._sleep_until(self.signals.first_at + ACCEPT_AFTER_STOP_S)
         # One round of the loop takes what arrived while the process got no processor.
         eventlet.sleep(0)
--- a/libs/serving/ruddersaddle_serving/host_lists.py
+++ b/libs/serving/ruddersaddle_serving/host_lists.py
@@ -17,14 +17,14 @@
 
 logger = logging.getLogger(__name__)
 
-HOSTS_LOOK_S = 1.0
+POLL_S = 1.0
 """Pause of a host that does not read the list, or failed to, with as much again drawn at random."""
-HOSTS_READ_S = 12.0
+READ_PAUSE_S = 12.0
 """Pause of a reader between reads of the list of hosts; a new host makes itself known by asking as
 well."""
-SETTLE_S = 15.0
+STARTUP_S = 15.0
 """A host that is alone on the list looks again soon for this long after its start."""
-RESTORE_S = 1.0
+RESTORE_STAGGER_S = 1.0
 """Pause between readers that write hosts again after the store's return; one call does it."""
 
 
@@ -34,7 +34,7 @@
     def __init__(self, hosts: Hosts, store: MetadataStore) -> None:
         self.hosts = hosts
         self.store = store
-        self.is_old = False
+        self.is_outdated = False
         """Whether another host knows a newer list."""
         self.listeners: list[Callable[[], None]] = []
         """Called at once with each list that was taken."""
@@ -47,7 +47,7 @@
 
     def _follow(self) -> None:
         registered = False
-        settled_at = clocks.now_s() + SETTLE_S
+        settled_at = clocks.now_s() + STARTUP_S
         while True:
             if not registered:
                 record = msgspec.json.encode(self.hosts.own)
@@ -55,17 +55,17 @@
                 registered = failure is None
             if self.hosts.by_id and not self.hosts.is_reader():
                 # A reader tells the list with its news.
-                eventlet.sleep(HOSTS_LOOK_S * (1 + random.random()))
+                eventlet.sleep(POLL_S * (1 + random.random()))
                 continue
             page = self.store.newest(Topic.HOSTS)
             if isinstance(page, Failure):
                 logger.info("List of hosts can't be read. %s", page.detail)
-                eventlet.sleep(HOSTS_LOOK_S * (1 + random.random()))
+                eventlet.sleep(POLL_S * (1 + random.random()))
                 continue
-            self.take_page(page)
+            self.apply_page(page)
             # At a common start the first to read the list find nobody on it yet.
             is_settled = self.hosts.by_id or clocks.now_s() > settled_at
-            pause_s = HOSTS_READ_S if is_settled else HOSTS_LOOK_S
+            pause_s = READ_PAUSE_S if is_settled else POLL_S
             self._pause(pause_s * (0.75 + 0.5 * random.random()))
 
     def _pause(self, seconds: float) -> None:
@@ -74,12 +74,12 @@
         That is soon where another host knows a newer one, and in a new era of the store.
         """
         until = clocks.now_s() + seconds
-        while clocks.now_s() < until and not self.is_old:
+        while clocks.now_s() < until and not self.is_outdated:
             if self._era != self.store.eras.newest:
                 return
-            eventlet.sleep(min(HOSTS_LOOK_S, max(0.0, until - clocks.now_s())))
+            eventlet.sleep(min(POLL_S, max(0.0, until - clocks.now_s())))
 
-    def take_page(self, page: Page) -> None:
+    def apply_page(self, page: Page) -> None:
         """Take the list that the store has; write again what it has lost with its return."""
         listed = _decode_hosts(page.records)
         is_return = self._era not in (None, page.end.era)
@@ -88,9 +88,9 @@
             known = self.hosts.all_by_id()
             missing = {host: each for host, each in known.items() if host not in listed}
             listed |= missing
-            eventlet.spawn(self._restore, missing, RESTORE_S * self.hosts.reader_rank())
-        self.is_old = False
-        self.take(listed, page.end)
+            eventlet.spawn(self._restore, missing, RESTORE_STAGGER_S * self.hosts.reader_rank())
+        self.is_outdated = False
+        self.apply(listed, page.end)
 
     def _restore(self, missing: dict[HostId, HostRecord], delay_s: float) -> None:
         """Write hosts that the store lacks; a reader looks first whether one before it has."""
@@ -104,18 +104,18 @@
                 if not missing or self.store.put_all(Topic.HOSTS, values) is None:
                     logger.info("Hosts written again: %s.", ", ".join(sorted(missing)) or "none")
                     return
-            eventlet.sleep(HOSTS_LOOK_S * (1 + random.random()))
+            eventlet.sleep(POLL_S * (1 + random.random()))
 
-    def take(self, records: dict[HostId, HostRecord], position: StorePosition = START) -> None:
+    def apply(self, records: dict[HostId, HostRecord], position: StorePosition = START) -> None:
         """Take a list as of a position, from the store or from another host."""
         if self.hosts.replace(records, position):
             logger.info("Hosts: %s.", ", ".join(sorted(self.hosts.by_id)))
         for listener in self.listeners:
             listener()
 
-    def note_asker(self, position: StorePosition) -> None:
+    def record_peer_position(self, position: StorePosition) -> None:
         """Take which list a host that asks this one knows; a newer one is read soon."""
-        self.is_old = self.is_old or position > self.hosts.position
+        self.is_outdated = self.is_outdated or position > self.hosts.position
 
     def leave(self) -> None:
         """Take this host off the list, at its planned stop."""
--- a/libs/serving/ruddersaddle_serving/hosts.py
+++ b/libs/serving/ruddersaddle_serving/hosts.py
@@ -19,10 +19,10 @@
 
 READERS_MIN = 2
 """Readers there are at least; the second one serves while the first is replaced."""
-SILENT_S = 4.0
+UNRESPONSIVE_S = 4.0
 """A host that did not answer is left alone this long, and twice as long each time after that: the
 record of a host that is gone for good stays on the list."""
-SILENT_MAX_S = 64.0
+UNRESPONSIVE_MAX_S = 64.0
 READERS_KEY = "readers"
 """Key under which hosts are ranked as readers."""
 
@@ -51,7 +51,7 @@
         self.position = START
         """Position that follows the newest record of the list; START where it is not known."""
         self._seeds = [seed for seed in seeds if seed and seed != own.address]
-        self._silent_until: dict[str, float] = {}
+        self._unresponsive_until: dict[str, float] = {}
         self._failures_by_address: dict[str, int] = {}
         self._others: list[HostRecord] | None = None
         self._digest: int | None = None
@@ -79,10 +79,10 @@
         changed = others != self.by_id
         self.by_id = others
         if changed:
-            self._note_change()
+            self._invalidate_caches()
         return changed
 
-    def _note_change(self) -> None:
+    def _invalidate_caches(self) -> None:
         self._others = None
         self._digest = None
         self._ranked_until = float("-inf")
@@ -91,29 +91,29 @@
         """Take the record of a host that made itself known."""
         if host != self.own_id and self.by_id.get(host) != record:
             self.by_id[host] = record
-            self._note_change()
+            self._invalidate_caches()
 
     def all_by_id(self) -> dict[HostId, HostRecord]:
         """Return the records of all hosts, this one included."""
         return {**self.by_id, self.own_id: self.own}
 
-    def note_silent(self, address: str) -> None:
+    def record_unresponsive(self, address: str) -> None:
         """Take that a host did not answer."""
         now = clocks.now_s()
-        if now < self._silent_until.get(address, now):
+        if now < self._unresponsive_until.get(address, now):
             return
         failures = self._failures_by_address.get(address, 0)
         self._failures_by_address[address] = failures + 1
-        silent_s = min(SILENT_MAX_S, SILENT_S * 2**failures)
-        self._silent_until[address] = now + silent_s
-        logger.info("Host at %s does not answer; it is left alone for %.0f s.", address, silent_s)
+        pause_s = min(UNRESPONSIVE_MAX_S, UNRESPONSIVE_S * 2**failures)
+        self._unresponsive_until[address] = now + pause_s
+        logger.info("Host at %s does not answer; it is left alone for %.0f s.", address, pause_s)
         self._ranked_until = float("-inf")
 
-    def note_heard(self, address: str) -> None:
+    def record_response(self, address: str) -> None:
         """Take that a host lives."""
         if self._failures_by_address.pop(address, None) is not None:
             logger.info("Host at %s answers again.", address)
-        if self._silent_until.pop(address, None) is not None:
+        if self._unresponsive_until.pop(address, None) is not None:
             self._ranked_until = float("-inf")
 
     def others(self) -> list[HostRecord]:
@@ -138,8 +138,10 @@
     def live(self) -> list[HostRecord]:
         """Return the hosts that are not known to be silent, this one first."""
         now = clocks.now_s()
-        silent = {address for address, until in self._silent_until.items() if now < until}
-        return [self.own, *(each for each in self.others() if each.address not in silent)]
+        unresponsive = {
+            address for address, until in self._unresponsive_until.items() if now < until
+        }
+        return [self.own, *(each for each in self.others() if each.address not in unresponsive)]
 
     @property
     def digest(self) -> int:
@@ -157,18 +159,18 @@
     def reader_by_hall(self) -> dict[HallId, str]:
         """Return the reader of each hall: hosts with wide links go first, since it answers all."""
         first_by_hall: dict[HallId, str] = {}
-        for each in self._by_width():
+        for each in self._by_link_width():
             first_by_hall.setdefault(each.hall, each.address)
         return first_by_hall
 
-    def _by_width(self) -> list[HostRecord]:
+    def _by_link_width(self) -> list[HostRecord]:
         now = clocks.now_s()
         if now >= self._ranked_until:
             live = self.live()
             names = rank_names(READERS_KEY, [each.address for each in live])
             rank = {name: place for place, name in enumerate(names)}
             self._ranked = sorted(live, key=lambda each: (-each.link_mbps, rank[each.address]))
-            ends = [until for until in self._silent_until.values() if until > now]
+            ends = [until for until in self._unresponsive_until.values() if until > now]
             self._ranked_until = min(ends, default=float("inf"))
         return self._ranked
 
@@ -179,7 +181,7 @@
         readers = [by_hall[hall] for hall in halls]
         missing = READERS_MIN - len(readers)
         if missing > 0:
-            spare = [each.address for each in self._by_width() if each.address not in readers]
+            spare = [each.address for each in self._by_link_width() if each.address not in readers]
             readers += spare[:missing]
         return readers
 
--- a/libs/serving/ruddersaddle_serving/neighbours.py
+++ b/libs/serving/ruddersaddle_serving/neighbours.py
@@ -85,8 +85,8 @@
         self.trackers = trackers
         self.kept = kept
         self.peers = Peers(self.address, self._handle, NeighbourMessage)
-        self.list = HostList(hosts, store)
-        self.list.listeners.append(lambda: self.peers.keep_only(set(hosts.addresses())))
+        self.host_list = HostList(hosts, store)
+        self.host_list.listeners.append(lambda: self.peers.keep_only(set(hosts.addresses())))
         self.loads = LoadShares(hosts, self.peers, trackers, upstreams)
         self.crashes = CrashShares(hosts, self.peers, store, crashes)
         self._revision_by_address: dict[str, int] = {}
@@ -100,7 +100,7 @@
         """Listen, make this host known, and keep beliefs young."""
         self.publications.held_until = clocks.now_s() + START_HOLD_S
         self.peers.start()
-        self.list.start()
+        self.host_list.start()
         spawn_forever("beliefs", self._refresh)
         spawn_forever("checks", self._check_connections)
         self.loads.start()
@@ -184,9 +184,9 @@
             turn += 1
             address = connected[turn % len(connected)]
             if isinstance(self.peers.ask(address, Ping(), ASK_S), Failure):
-                self.hosts.note_silent(address)
+                self.hosts.record_unresponsive(address)
             else:
-                self.hosts.note_heard(address)
+                self.hosts.record_response(address)
 
     def _request_state(self, address: str) -> bool:
         """Ask one peer; return whether it answered."""
@@ -205,9 +205,9 @@
         )
         answer = self.peers.ask(address, question, ASK_S)
         if not isinstance(answer, StateUpdate):
-            hosts.note_silent(address)
+            hosts.record_unresponsive(address)
             return False
-        hosts.note_heard(address)
+        hosts.record_response(address)
         self._apply_state(answer, asked_at)
         self._revision_by_address[address] = answer.entries_revision
         self._crashes_revision_by_address[address] = answer.crashes_revision
@@ -228,7 +228,7 @@
             self._apply_evacuations(news.evacuated, end)
             self.publications.confirm(asked_at - news.age_s, end)
         if news.hosts is not None:
-            self.list.take(news.hosts, news.hosts_position)
+            self.host_list.apply(news.hosts, news.hosts_position)
         self._apply_crashes(news, asked_at)
         # What is cold is taken before the entries, so that none of them is ever thought warm.
         self.upstreams.cold.take_all(news.cold)
@@ -279,10 +279,10 @@
 
     def _reply_state(self, question: StateRequest) -> StateUpdate:
         self._learn_era(question.era)
-        self.hosts.note_heard(question.record.address)
+        self.hosts.record_response(question.record.address)
         self.hosts.add(question.host, question.record)
         hosts = self.hosts
-        self.list.note_asker(question.hosts_position)
+        self.host_list.record_peer_position(question.hosts_position)
         publications = self.publications
         upstreams = self.upstreams
         table = publications.table
@@ -368,7 +368,7 @@
 
     def _send_load_message(self, address: str, message: Loading | Loaded) -> None:
         if isinstance(self.peers.ask(address, message, ASK_S), Failure):
-            self.hosts.note_silent(address)
+            self.hosts.record_unresponsive(address)
 
 
 def rank_for_duty(duty: str, neighbours: Neighbours) -> int:
--- a/libs/serving/ruddersaddle_serving/part_relays.py
+++ b/libs/serving/ruddersaddle_serving/part_relays.py
@@ -35,7 +35,7 @@
         self.kept.tell_lost = self.neighbours.broadcast_store_lost
         # Waiting for the next look instead, hosts that had all been lost fetched nothing for their
         # first second, and read 140,000 of 300,000 tokens of a day again in it.
-        self.neighbours.list.listeners.append(self.kept.start_followers)
+        self.neighbours.host_list.listeners.append(self.kept.start_followers)
         spawn_forever("parts", self._run)
 
     def watches(self, spec: ContextStore) -> bool:
@@ -74,7 +74,7 @@
         answer = self.neighbours.peers.ask(reader, AskParts(positions), ASK_S)
         if not isinstance(answer, PartsNews):
             logger.info("Reader %s tells nothing of context stores.", reader)
-            self.neighbours.hosts.note_silent(reader)
+            self.neighbours.hosts.record_unresponsive(reader)
             return
         self._revision_by_source = {
             key: revision for key, revision in self._revision_by_source.items() if key[0] == reader
--- a/libs/serving/ruddersaddle_serving/tests/test_host_lists.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_host_lists.py
@@ -62,7 +62,7 @@
         )
         neighbours.peers = FakePeers(self.by_address)
         self.by_address[neighbours.address] = neighbours
-        neighbours.list.take_page(page_of(range(registered)))
+        neighbours.host_list.apply_page(page_of(range(registered)))
         return neighbours
 
     def setUp(self) -> None:
@@ -90,11 +90,11 @@
 
     def test_reader_that_is_asked_by_one_who_knows_more_reads_again_soon(self) -> None:
         reader = self.make(0, 5)
-        self.assertFalse(reader.list.is_old)
+        self.assertFalse(reader.host_list.is_outdated)
         self.make(11, 12)._request_state(reader.address)
-        self.assertTrue(reader.list.is_old)
-        reader.list.take_page(page_of(range(12)))
-        self.assertFalse(reader.list.is_old)
+        self.assertTrue(reader.host_list.is_outdated)
+        reader.host_list.apply_page(page_of(range(12)))
+        self.assertFalse(reader.host_list.is_outdated)
         self.assertEqual(self.count(reader), 12)
 
     def test_all_come_to_know_all_by_asking_their_readers(self) -> None:
@@ -106,8 +106,8 @@
                 for address in each.hosts.readers():
                     if address != each.address:
                         each._request_state(address)
-                if each.list.is_old and each.hosts.is_reader():
-                    each.list.take_page(page_of(range(30)))
+                if each.host_list.is_outdated and each.hosts.is_reader():
+                    each.host_list.apply_page(page_of(range(30)))
         self.assertEqual({self.count(each) for each in fleet}, {30})
 
 
--- a/libs/serving/ruddersaddle_serving/tests/test_hosts.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_hosts.py
@@ -48,7 +48,7 @@
         records = {n: record(n, NORTH) for n in range(1, 5)}
         hosts = make_hosts(1, records)
         first = next(each for each in hosts.readers() if each != records[1].address)
-        hosts.note_silent(first)
+        hosts.record_unresponsive(first)
         self.assertNotIn(first, hosts.readers())
         self.now += 4.1
         self.assertIn(first, hosts.readers())
@@ -59,15 +59,15 @@
         gone = records[2].address
         waits = []
         for _ in range(6):
-            hosts.note_silent(gone)
-            hosts.note_silent(gone)
+            hosts.record_unresponsive(gone)
+            hosts.record_unresponsive(gone)
             began = self.now
             while gone not in [each.address for each in hosts.live()]:
                 self.now += 1.0
             waits.append(self.now - began)
         self.assertEqual(waits, [4.0, 8.0, 16.0, 32.0, 64.0, 64.0])
-        hosts.note_heard(gone)
-        hosts.note_silent(gone)
+        hosts.record_response(gone)
+        hosts.record_unresponsive(gone)
         self.now += 4.0
         self.assertIn(gone, [each.address for each in hosts.live()])
 
--- a/libs/serving/ruddersaddle_serving/tests/test_part_relays.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_part_relays.py
@@ -44,7 +44,7 @@
         kept.take_table(RouteTable(Published(1, stores=(SPEC,))))
         eventlet.sleep(0.01)
         engines.store_listing.assert_not_called()
-        neighbours.list.take({HostId("b"): HostRecord("10.0.0.3:1", HALL)})
+        neighbours.host_list.apply({HostId("b"): HostRecord("10.0.0.3:1", HALL)})
         eventlet.sleep(0.01)
         engines.store_listing.assert_called_once_with(SPEC)
 
