--- a/libs/serving/ruddersaddle_serving/neighbours.py
+++ b/libs/serving/ruddersaddle_serving/neighbours.py
@@ -98,7 +98,7 @@
 
     def start(self) -> None:
         """Listen, make this host known, and keep beliefs young."""
-        self.publications.held_until = clocks.now_s() + START_HOLD_S
+        self.publications.settling_until = clocks.now_s() + START_HOLD_S
         self.peers.start()
         self.host_list.start()
         spawn_forever("beliefs", self._refresh)
@@ -118,7 +118,7 @@
 
         It may have come back from a copy, with a key that was taken away or an upstream that left.
         """
-        until = self.publications.held_until
+        until = self.publications.settling_until
         while not self.hosts.is_known and clocks.now_s() < until:
             eventlet.sleep(START_LOOK_S)
         others = self.hosts.addresses()
@@ -129,7 +129,7 @@
         # The first answer is enough: hosts know of a change within a second of one another.
         any(answers.get() for _ in asked)
         self.upstreams.drop_gone()
-        self.publications.held_until = float("-inf")
+        self.publications.settling_until = float("-inf")
 
     def _request_state_into(self, address: str, answers: LightQueue[bool]) -> None:
         """Ask one peer, and put whether it answered, also where asking fails by a fault."""
@@ -216,13 +216,13 @@
     def _apply_state(self, news: StateUpdate, asked_at: float) -> None:
         """Take a peer's beliefs, dated from when the question left."""
         self._learn_era(news.known_era)
-        if clocks.now_s() < self.publications.held_until:
+        if clocks.now_s() < self.publications.settling_until:
             self.upstreams.note_gone(news.gone)
         for named in news.named:
-            self.publications.take(named)
-        self.publications.take_naming_ages(news.namings, asked_at)
+            self.publications.apply(named)
+        self.publications.apply_naming_ages(news.namings, asked_at)
         if news.published is not None:
-            self.publications.take(news.published)
+            self.publications.apply(news.published)
         end = StorePosition(news.era, news.end)
         if end >= self.publications.end:
             self._apply_evacuations(news.evacuated, end)
--- a/libs/serving/ruddersaddle_serving/publications.py
+++ b/libs/serving/ruddersaddle_serving/publications.py
@@ -27,7 +27,7 @@
 
     version: int
     not_before: float
-    heard_at: float
+    received_at: float
 
 
 class NamingAge(msgspec.Struct, frozen=True, array_like=True):
@@ -35,9 +35,9 @@
 
     model: ModelId
     version: int
-    heard_s: float
+    received_s: float
     """Since when the teller has known of them."""
-    unnamed_s: float
+    not_before_s: float
     """Since when they may have been named: it knew before that they were not."""
 
 
@@ -58,7 +58,7 @@
         """Called at once with each configuration that comes into force."""
         self.end = START
         """Position that follows the newest record that was taken into account."""
-        self.held_until = float("-inf")
+        self.settling_until = float("-inf")
         """Until then nothing counts as confirmed: a host that has just started asks others first,
         as the store may have come back from a copy that still has what was taken away."""
         self.stored_version = 0
@@ -78,17 +78,17 @@
     @property
     def is_settling(self) -> bool:
         """Whether this host has just started and still asks others what is in force."""
-        return clocks.now_s() < self.held_until
+        return clocks.now_s() < self.settling_until
 
-    def take(self, item: Published | ModelVersion) -> None:
+    def apply(self, item: Published | ModelVersion) -> None:
         """Take one published item if it is newer than what is known."""
         match item:
             case Published():
-                self._take_configuration(item)
+                self._apply_configuration(item)
             case ModelVersion():
-                self._take_version(item)
+                self._apply_version(item)
 
-    def _take_configuration(self, published: Published) -> None:
+    def _apply_configuration(self, published: Published) -> None:
         if published.version <= self.version:
             return
         logger.info("Configuration %d is in force, after %d.", published.version, self.version)
@@ -96,7 +96,7 @@
         for listener in self.listeners:
             listener(self.table)
 
-    def _take_version(self, named: ModelVersion) -> None:
+    def _apply_version(self, named: ModelVersion) -> None:
         known = self.version_by_model.get(named.model, 0)
         if named.version <= known:
             return
@@ -109,30 +109,30 @@
         """Return the ages of all namings that this host has seen come."""
         now = clocks.now_s()
         return tuple(
-            NamingAge(model, each.version, now - each.heard_at, now - each.not_before)
+            NamingAge(model, each.version, now - each.received_at, now - each.not_before)
             for model, namings in self.namings_by_model.items()
             for each in namings
             if each.not_before != float("-inf")
         )
 
-    def take_naming_ages(self, ages: Iterable[NamingAge], asked_at: float) -> None:
+    def apply_naming_ages(self, ages: Iterable[NamingAge], asked_at: float) -> None:
         """Take when another host heard of weights, dated from when it was asked.
 
         A host that has just started learns by it how long old weights may be used; by itself it
         would leave them after `START_GRACE_S`, when few engines may have newer ones yet.
         """
         for age in ages:
-            told = Naming(age.version, asked_at - age.unnamed_s, asked_at - age.heard_s)
+            reported = Naming(age.version, asked_at - age.not_before_s, asked_at - age.received_s)
             by_version = {each.version: each for each in self.namings_by_model.get(age.model, ())}
             own = by_version.get(age.version)
             if own is None or own.not_before == float("-inf"):
-                by_version[age.version] = told
+                by_version[age.version] = reported
             self.namings_by_model[age.model] = [by_version[each] for each in sorted(by_version)]
 
     def replaced_at_least_s(self, model: ModelId, version: int) -> float:
         """Return the time for which this host has known that newer weights are named."""
         naming = self._first_after(model, version)
-        return 0.0 if naming is None else clocks.now_s() - naming.heard_at
+        return 0.0 if naming is None else clocks.now_s() - naming.received_at
 
     def is_replaced_for(self, model: ModelId, version: int, bound_s: float) -> bool:
         """Return whether newer weights may have been named longer ago than a bound.
@@ -144,7 +144,7 @@
             return False
         was_known_at_start = naming.not_before == float("-inf")
         allowed_s = min(bound_s, START_GRACE_S) if was_known_at_start else bound_s
-        return clocks.now_s() - naming.heard_at >= allowed_s
+        return clocks.now_s() - naming.received_at >= allowed_s
 
     def _first_after(self, model: ModelId, version: int) -> "Naming | None":
         namings = self.namings_by_model.get(model, ())
--- a/libs/serving/ruddersaddle_serving/store_followers.py
+++ b/libs/serving/ruddersaddle_serving/store_followers.py
@@ -156,7 +156,7 @@
                 case Evacuation():
                     evacuations.append(item)
                 case Published() | ModelVersion():
-                    self.publications.take(item)
+                    self.publications.apply(item)
                     self._note_stored(item)
         self._take_evacuations(evacuations, whole, page.end)
         return self.publications.confirm(asked_at, page.end)
--- a/libs/serving/ruddersaddle_serving/tests/test_placements.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_placements.py
@@ -192,7 +192,7 @@
 
     def test_old_weights_are_left_before_their_bound(self) -> None:
         self.publications.confirm(self.now, StorePosition(0, 1))
-        self.publications.take(ModelVersion(MODEL, 2))
+        self.publications.apply(ModelVersion(MODEL, 2))
         self.first.take_version(MODEL, 2)
         self.now += 9.0
         self.assertIsInstance(self.choose(), Choice)
@@ -203,9 +203,9 @@
     def test_bound_counts_from_the_first_newer_weights(self) -> None:
         """Found in a hunt: a second version named 4 s later let the oldest weights go on."""
         self.publications.confirm(self.now, StorePosition(0, 1))
-        self.publications.take(ModelVersion(MODEL, 2))
+        self.publications.apply(ModelVersion(MODEL, 2))
         self.now += 4.0
-        self.publications.take(ModelVersion(MODEL, 3))
+        self.publications.apply(ModelVersion(MODEL, 3))
         self.first.take_version(MODEL, 2)
         self.now += 6.0
         self.fill(self.first, CAPACITY)
@@ -252,7 +252,7 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.publications.take(Published(1, pools=(Pool(POOL, None, 3.0, 2.0),)))
+        self.publications.apply(Published(1, pools=(Pool(POOL, None, 3.0, 2.0),)))
         self.hosts.replace({})
         self.now += JOIN_S
 
--- a/libs/serving/ruddersaddle_serving/tests/test_publications.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_publications.py
@@ -21,8 +21,8 @@
     def test_versions_never_go_back(self) -> None:
         publications = Publications()
         for version in (3, 2, 5, 4):
-            publications.take(Published(version))
-            publications.take(ModelVersion(MODEL, version))
+            publications.apply(Published(version))
+            publications.apply(ModelVersion(MODEL, version))
         self.assertEqual(publications.version, 5)
         self.assertEqual(publications.version_by_model, {MODEL: 5})
 
@@ -49,7 +49,7 @@
         heard = []
         publications.listeners.append(lambda table: heard.append(table.published.version))
         for version in (3, 3, 2, 4):
-            publications.take(Published(version))
+            publications.apply(Published(version))
         self.assertEqual(heard, [3, 4])
 
 
@@ -58,35 +58,35 @@
         super().setUp()
         self.publications = Publications()
 
-    def unnamed_s(self) -> dict[int, float]:
+    def not_before_s(self) -> dict[int, float]:
         """Return since when each weights may have been named, where this host saw them come."""
-        return {each.version: each.unnamed_s for each in self.publications.naming_ages()}
+        return {each.version: each.not_before_s for each in self.publications.naming_ages()}
 
     def replaced_s(self, version: int) -> float:
         return self.publications.replaced_at_least_s(MODEL, version)
 
     def test_weights_were_replaced_between_the_last_confirmation_and_the_news(self) -> None:
         self.publications.confirm(99.0, StorePosition(0, 1))
-        self.publications.take(ModelVersion(MODEL, 2))
+        self.publications.apply(ModelVersion(MODEL, 2))
         self.now += 3.0
         self.assertEqual((self.replaced_s(1), self.replaced_s(2)), (3.0, 0.0))
-        self.assertEqual(self.unnamed_s(), {2: 4.0})
+        self.assertEqual(self.not_before_s(), {2: 4.0})
 
     def test_host_that_has_just_started_does_not_know_for_how_long(self) -> None:
-        self.publications.take(ModelVersion(MODEL, 2))
+        self.publications.apply(ModelVersion(MODEL, 2))
         self.now += 3.0
-        self.assertEqual((self.replaced_s(1), self.unnamed_s()), (3.0, {}))
+        self.assertEqual((self.replaced_s(1), self.not_before_s()), (3.0, {}))
 
     def test_host_that_has_just_started_soon_leaves_weights_that_were_replaced_before(self) -> None:
         """Found in a hunt: after a common restart the bound on old weights began anew."""
         publications = Publications()
-        publications.take(ModelVersion(MODEL, 2))
+        publications.apply(ModelVersion(MODEL, 2))
         publications.confirm(self.now, StorePosition(0, 1))
         self.assertFalse(publications.is_replaced_for(MODEL, 1, 9.5))
         self.now += START_GRACE_S
         self.assertTrue(publications.is_replaced_for(MODEL, 1, 9.5))
         self.assertFalse(publications.is_replaced_for(MODEL, 2, 9.5))
-        publications.take(ModelVersion(MODEL, 3))
+        publications.apply(ModelVersion(MODEL, 3))
         self.now += 9.0
         self.assertFalse(publications.is_replaced_for(MODEL, 2, 9.5))
         self.now += 0.5
@@ -96,13 +96,13 @@
         """Found in reading: it left old weights after 2 s, when few engines had newer ones."""
         self.publications.confirm(self.now, StorePosition(0, 1))
         for version in (2, 3):
-            self.publications.take(ModelVersion(MODEL, version))
+            self.publications.apply(ModelVersion(MODEL, version))
             self.now += 4.0
             self.publications.confirm(self.now, StorePosition(0, version))
         started = Publications()
-        started.take(ModelVersion(MODEL, 3))
+        started.apply(ModelVersion(MODEL, 3))
         started.confirm(self.now, StorePosition(0, 3))
-        started.take_naming_ages(self.publications.naming_ages(), self.now)
+        started.apply_naming_ages(self.publications.naming_ages(), self.now)
         self.now += START_GRACE_S - 1.0
         self.assertFalse(started.is_replaced_for(MODEL, 1, 9.5))
         self.now += 0.5
@@ -111,13 +111,13 @@
         self.assertFalse(started.is_replaced_for(MODEL, 2, 9.5))
 
     def test_hosts_that_have_all_just_started_tell_nothing_of_ages(self) -> None:
-        self.publications.take(ModelVersion(MODEL, 2))
+        self.publications.apply(ModelVersion(MODEL, 2))
         self.assertEqual(self.publications.naming_ages(), ())
 
     def test_the_first_newer_weights_count(self) -> None:
         for version in (2, 3):
             self.publications.confirm(self.now, StorePosition(0, version))
-            self.publications.take(ModelVersion(MODEL, version))
+            self.publications.apply(ModelVersion(MODEL, version))
             self.now += 5.0
         self.assertEqual((self.replaced_s(1), self.replaced_s(2)), (10.0, 5.0))
 
--- a/libs/serving/ruddersaddle_serving/tests/test_replaced_parts.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_replaced_parts.py
@@ -44,7 +44,7 @@
             self.publications, self.upstreams, self.trackers, neighbours, self.kept
         )
         self.first, self.second = (self.add(name) for name in ("e-1", "e-2"))
-        self.publications.take(ModelVersion(MODEL, 2))
+        self.publications.apply(ModelVersion(MODEL, 2))
 
     def add(self, name: str) -> Tracker:
         address = f"10.0.0.1:{name[-1]}"
--- a/libs/serving/ruddersaddle_serving/tests/test_suspensions.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_suspensions.py
@@ -96,7 +96,7 @@
     def test_replaced_weights_are_left(self) -> None:
         model = ModelId("m")
         for version in (1, 2):
-            self.publications.take(ModelVersion(model, version))
+            self.publications.apply(ModelVersion(model, version))
         self.suspend()
         self.assertTrue(self.publications.is_replaced_for(model, 1, SUSPENDED_S - 0.1))
 
--- a/libs/serving/ruddersaddle_serving/tests/test_upstream_shares.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_upstream_shares.py
@@ -73,7 +73,7 @@
             hosts = Hosts(HostId(host), HostRecord(f"{host}:1", HALL), [])
             hosts.replace(records(known))
             publications = Publications()
-            publications.take(Published(1, pools=(Pool(POOL, None, COLD_S, per_s),)))
+            publications.apply(Published(1, pools=(Pool(POOL, None, COLD_S, per_s),)))
             upstreams = UpstreamList()
             upstreams.put(self.upstream)
             self.shares.append(UpstreamShares(hosts, publications, upstreams))
--- a/libs/serving/ruddersaddle_serving/tests/test_weight_rollouts.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_weight_rollouts.py
@@ -72,7 +72,7 @@
             )
             self.upstreams.put(entry)
         self.engines = FakeEngines(silent)
-        self.publications.take(ModelVersion(MODEL, 2))
+        self.publications.apply(ModelVersion(MODEL, 2))
         return WeightRollouts(
             self.lease,
             100.0,
@@ -150,7 +150,7 @@
             hosts = rank_names(MODEL, ["a", "b"])
             neighbours = mock.Mock(load_message_at=now, live_hosts=hosts, address=hosts[1])
             publications = Publications()
-            publications.take(ModelVersion(MODEL, 2))
+            publications.apply(ModelVersion(MODEL, 2))
             upstreams = UpstreamList()
             entry = UpstreamEntry(
                 UpstreamId("e"), PoolId("p"), "10.0.0.1:1", HallId("h"), 8, False, {MODEL: 1}
