--- a/libs/serving/ruddersaddle_serving/entry_hosts.py
+++ b/libs/serving/ruddersaddle_serving/entry_hosts.py
@@ -116,7 +116,7 @@
         self.link = StoreLink()
         self.publications = Publications()
         self.upstreams = UpstreamList()
-        store.eras.return_listeners.append(self.upstreams.note_copy)
+        store.eras.return_listeners.append(self.upstreams.ignore_gone_instances)
         self.entries = UpstreamFollower(store, self.link, self.upstreams)
         self.trackers = Trackers()
         self.hosts = self._make_hosts(settings)
--- a/libs/serving/ruddersaddle_serving/load_shares.py
+++ b/libs/serving/ruddersaddle_serving/load_shares.py
@@ -142,7 +142,7 @@
             tracker.take_notice(host, notice)
         if notice.leave is not None:
             start = UpstreamInstance(notice.upstream, notice.born_ms)
-            self.upstreams.note_leaving(start, notice.leave.request, host)
+            self.upstreams.record_leaving(start, notice.leave.request, host)
 
     @property
     def is_summing(self) -> bool:
--- a/libs/serving/ruddersaddle_serving/neighbours.py
+++ b/libs/serving/ruddersaddle_serving/neighbours.py
@@ -217,7 +217,7 @@
         """Take a peer's beliefs, dated from when the question left."""
         self._learn_era(news.known_era)
         if clocks.now_s() < self.publications.settling_until:
-            self.upstreams.note_gone(news.gone)
+            self.upstreams.record_gone(news.gone)
         for named in news.named:
             self.publications.apply(named)
         self.publications.apply_naming_ages(news.namings, asked_at)
@@ -232,14 +232,14 @@
         self._apply_crashes(news, asked_at)
         # What is cold is taken before the entries, so that none of them is ever thought warm.
         self.upstreams.cold.take_all(news.cold)
-        self.upstreams.take_leaving(news.leaving)
+        self.upstreams.apply_leaving(news.leaving)
         entries_at = asked_at - news.entries_age_s
         if entries_at <= self.upstreams.confirmed_at:
             return
         if news.entries is None:
             self.upstreams.confirm(entries_at)
         else:
-            self.upstreams.replace_told(news.entries, news.lapsing, entries_at, news.gone)
+            self.upstreams.replace_reported(news.entries, news.lapsing, entries_at, news.gone)
 
     def _apply_evacuations(self, halls: tuple[HallId, ...] | None, end: StorePosition) -> None:
         if halls is not None:
--- a/libs/serving/ruddersaddle_serving/replaced_parts.py
+++ b/libs/serving/ruddersaddle_serving/replaced_parts.py
@@ -84,7 +84,7 @@
 
     def _oldest_in_use(self, model: ModelId) -> int:
         """Return the oldest weights that any engine may have; 0 while entries may be missing."""
-        if not self.upstreams.is_certain:
+        if not self.upstreams.is_up_to_date:
             return 0
         trackers = [self.trackers.at(entry) for entry in self.upstreams.by_id.values()]
         versions = [
--- a/libs/serving/ruddersaddle_serving/store_followers.py
+++ b/libs/serving/ruddersaddle_serving/store_followers.py
@@ -107,7 +107,7 @@
             return page
         whole = self.position is None
         if self._era not in (None, page.end.era):
-            self.note_return()
+            self.record_restore()
         self._era = page.end.era
         if self.take(page, whole, asked_at):
             self.position = page.end
@@ -118,7 +118,7 @@
             logger.info("Topic %s is read whole. %s", self.topic.value, failure.detail)
             self.position = None
         else:
-            self.note_outage()
+            self.record_outage()
 
     def take(self, page: Page, whole: bool, asked_at: float) -> bool:
         """Take a page; return whether it is not older than what is known."""
@@ -129,10 +129,10 @@
         """Seconds since what this host knows of the topic was last confirmed."""
         raise NotImplementedError
 
-    def note_outage(self) -> None:
+    def record_outage(self) -> None:
         """Take that the store did not answer."""
 
-    def note_return(self) -> None:
+    def record_restore(self) -> None:
         """Take that the next page is of a store that has come back from an earlier copy."""
 
 
@@ -241,15 +241,15 @@
         """Seconds since the entries were last confirmed."""
         return self.upstreams.age_s
 
-    def note_outage(self) -> None:
+    def record_outage(self) -> None:
         """Entries may lapse while the store is away."""
         self._is_first = True
-        self.upstreams.note_outage()
+        self.upstreams.record_outage()
 
-    def note_return(self) -> None:
+    def record_restore(self) -> None:
         """Entries written since the copy are missing; of those that are there some are over."""
         self._is_first = True
-        self.upstreams.note_return()
+        self.upstreams.record_restore()
 
 
 class CrashFollower(TopicFollower):
@@ -276,6 +276,6 @@
         """Seconds since the records were last confirmed."""
         return self.shares.age_s
 
-    def note_return(self) -> None:
+    def record_restore(self) -> None:
         """What was written since the copy is gone."""
         self.shares.note_return()
--- a/libs/serving/ruddersaddle_serving/tests/test_belief_ages.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_belief_ages.py
@@ -12,7 +12,7 @@
     FALLBACK_S,
     OPERATOR_WAIT_S,
 )
-from ruddersaddle_serving.upstream_lists import CERTAIN_S
+from ruddersaddle_serving.upstream_lists import UP_TO_DATE_S
 
 WAY_S = 0.1
 """Ways of a question and its answer, on a slowed host."""
@@ -35,7 +35,7 @@
         self.assertGreater(OLD_S, READER_AGE_S)
 
     def test_list_of_upstreams_is_certain_on_hosts_that_hear_of_others(self) -> None:
-        self.assertGreater(CERTAIN_S, HEARD_AGE_S)
+        self.assertGreater(UP_TO_DATE_S, HEARD_AGE_S)
 
     def test_listings_are_trusted_by_hosts_that_hear_of_others(self) -> None:
         self.assertGreater(TRUST_S, 2 * FOLLOW_WAIT_S + WAY_S + PARTS_ASK_PAUSE_S)
--- a/libs/serving/ruddersaddle_serving/tests/test_placements.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_placements.py
@@ -325,7 +325,7 @@
         self.assertEqual(self.placement.check_open(self.first).ran, Ran.NOT_RUN)
         self.evacuate("h")
         self.assertIn("evacuated", self.placement.check_open(self.second).detail)
-        self.upstreams.note_leaving(self.second.entry.instance, RequestId("q"), "host")
+        self.upstreams.record_leaving(self.second.entry.instance, RequestId("q"), "host")
         self.assertIn("leaves", self.placement.check_open(self.second).detail)
 
 
--- a/libs/serving/ruddersaddle_serving/tests/test_replaced_parts.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_replaced_parts.py
@@ -81,7 +81,7 @@
         self.first.take_version(MODEL, 2)
         self.look_for(1.0)
         for _ in range(40):
-            self.upstreams.note_outage()
+            self.upstreams.record_outage()
             self.look_for(0.5)
         self.engines.free.assert_not_called()
 
--- a/libs/serving/ruddersaddle_serving/tests/test_suspensions.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_suspensions.py
@@ -91,7 +91,7 @@
         upstreams = UpstreamList()
         upstreams.replace([], clocks.now_s())
         self.suspend()
-        self.assertFalse(upstreams.is_certain)
+        self.assertFalse(upstreams.is_up_to_date)
 
     def test_replaced_weights_are_left(self) -> None:
         model = ModelId("m")
--- a/libs/serving/ruddersaddle_serving/upstream_lists.py
+++ b/libs/serving/ruddersaddle_serving/upstream_lists.py
@@ -20,14 +20,14 @@
 OUTAGE_MEMORY_S = 4.0
 """How long after an outage the list may lack upstreams that live: two seconds until they write
 again, and two for this host to read it."""
-RETURN_MEMORY_S = 10.0
+RESTORE_MEMORY_S = 10.0
 """How long after the store's return from a copy a whole list may still name starts that are gone:
 what upstreams don't write again lapses after three reports of silence (3.6 s)."""
 REMEMBERED_MAX = 1000
 """Starts that are remembered as gone, or as leaving; a release of 450 upstreams ends as many."""
-TOLD_MAX = 50
+REPORTED_MAX = 50
 """Of these as many are told to another host, about 1 KB."""
-CERTAIN_S = 3.0
+UP_TO_DATE_S = 3.0
 """Oldest list that counts as complete; hosts hear of others' reads within 1.9 s."""
 
 
@@ -42,16 +42,16 @@
         """Grows with each change of an entry; begins anywhere, so that two processes differ."""
         self.confirmed_at = float("-inf")
         """When the question was sent whose answer was last taken."""
-        self._kept_until_by_id: dict[UpstreamId, float] = {}
+        self._lapse_at_by_id: dict[UpstreamId, float] = {}
         """Entries that may have lapsed in an outage; endless while the store is away."""
         self._unanswered_at: float | None = None
         """When this host last got no answer of the store; None since it, or a host that told its
         list, got one."""
         self._grace_until = float("-inf")
-        self._written: set[UpstreamId] = set()
+        self._written_since_outage: set[UpstreamId] = set()
         """Upstreams that have written since the last outage: when they go, they leave."""
         self._outage_until = 0.0
-        self._copy_until = float("-inf")
+        self._gone_ignored_until = float("-inf")
         self._leaving: dict[UpstreamInstance, None] = {}
         """Starts that said in an answer that they leave, the latest last."""
         self._gone: dict[UpstreamInstance, None] = {}
@@ -63,46 +63,48 @@
         return clocks.now_s() - self.confirmed_at
 
     @property
-    def is_certain(self) -> bool:
+    def is_up_to_date(self) -> bool:
         """Whether every upstream that lives is listed: the list is young, the store was there."""
-        return self.age_s < CERTAIN_S and clocks.now_s() >= self._outage_until
+        return self.age_s < UP_TO_DATE_S and clocks.now_s() >= self._outage_until
 
-    def note_outage(self) -> None:
+    def record_outage(self) -> None:
         """Remember that the store does not answer; entries may lapse meanwhile."""
         self._unanswered_at = clocks.now_s()
-        self._written.clear()
+        self._written_since_outage.clear()
         self._outage_until = self._unanswered_at + OUTAGE_MEMORY_S
 
     def _end_outage(self, at: float) -> None:
         """Remember that the store answers again, since a moment."""
         self._unanswered_at = None
         self._grace_until = at + LAPSE_GRACE_S
-        for upstream, until in self._kept_until_by_id.items():
-            self._kept_until_by_id[upstream] = min(until, self._grace_until)
+        for upstream, until in self._lapse_at_by_id.items():
+            self._lapse_at_by_id[upstream] = min(until, self._grace_until)
 
-    def note_return(self) -> None:
+    def record_restore(self) -> None:
         """Remember that the store has come back from a copy some seconds old.
 
         What upstreams wrote since is missing until they write it again; starts that have left
         since are named there once more, and take nothing any more.
         """
-        self.note_outage()
+        self.record_outage()
         self._end_outage(clocks.now_s())
-        self.note_copy()
+        self.ignore_gone_instances()
 
-    def note_copy(self) -> None:
+    def ignore_gone_instances(self) -> None:
         """Remember that lists may be of the store's copy for a while, also those of other hosts."""
-        self._copy_until = clocks.now_s() + RETURN_MEMORY_S
+        self._gone_ignored_until = clocks.now_s() + RESTORE_MEMORY_S
 
-    def _is_over(self, instance: UpstreamInstance) -> bool:
+    def _is_known_gone(self, instance: UpstreamInstance) -> bool:
         """Return whether a start that a copy names has left before."""
-        return clocks.now_s() < self._copy_until and instance in self._gone
+        return clocks.now_s() < self._gone_ignored_until and instance in self._gone
 
     def replace(self, entries: Iterable[UpstreamEntry], asked_at: float) -> None:
         """Take a whole list of the store."""
-        self._replace([entry for entry in entries if not self._is_over(entry.instance)], asked_at)
+        self._replace(
+            [entry for entry in entries if not self._is_known_gone(entry.instance)], asked_at
+        )
 
-    def replace_told(
+    def replace_reported(
         self,
         entries: Iterable[UpstreamEntry],
         lapsing: Collection[UpstreamId],
@@ -118,7 +120,9 @@
         known = {entry.instance for entry in self.by_id.values()}
         kept = {each.instance for each in entries if each.id in lapsing}
         fresh = [
-            each for each in entries if each.id not in lapsing and not self._is_over(each.instance)
+            each
+            for each in entries
+            if each.id not in lapsing and not self._is_known_gone(each.instance)
         ]
         for left in set(gone) - {each.instance for each in fresh}:
             if left in known:
@@ -127,13 +131,13 @@
                 _remember(self._gone, left)
         until = clocks.now_s() + LAPSE_GRACE_S
         for instance in known & kept - set(gone):
-            self._kept_until_by_id.setdefault(instance.id, until)
+            self._lapse_at_by_id.setdefault(instance.id, until)
         self._replace(fresh, asked_at, {instance.id for instance in kept})
 
     @property
     def lapsing(self) -> tuple[UpstreamId, ...]:
         """The entries that are gone from the store and kept for their grace."""
-        return tuple(self._kept_until_by_id)
+        return tuple(self._lapse_at_by_id)
 
     def _replace(
         self,
@@ -152,7 +156,7 @@
     def put_written(self, entry: UpstreamEntry) -> None:
         """Take an entry that its upstream has just written."""
         if self._unanswered_at is None and clocks.now_s() < self._outage_until:
-            self._written.add(entry.id)
+            self._written_since_outage.add(entry.id)
         self.put(entry)
 
     def put(self, entry: UpstreamEntry) -> None:
@@ -165,7 +169,7 @@
             # A change of the entry is told to all hosts; a heartbeat is none.
             self.cold.take(entry.instance, entry.heartbeat)
             entry = msgspec.structs.replace(entry, heartbeat=None)
-        self._kept_until_by_id.pop(entry.id, None)
+        self._lapse_at_by_id.pop(entry.id, None)
         self._gone.pop(entry.instance, None)
         is_same = known is not None and not entry.is_later_than(known)
         if (is_same and known.leaving) or entry.instance in self._leaving:
@@ -190,11 +194,11 @@
             return
         is_away = self._unanswered_at is not None
         until = float("inf") if is_away else self._grace_until
-        if upstream in self._written or clocks.now_s() >= until:
+        if upstream in self._written_since_outage or clocks.now_s() >= until:
             self.drop(upstream)
-        elif upstream not in self._kept_until_by_id:
+        elif upstream not in self._lapse_at_by_id:
             logger.info("Entry of %s is gone after an outage of the store.", upstream)
-            self._kept_until_by_id[upstream] = until
+            self._lapse_at_by_id[upstream] = until
 
     def confirm(self, asked_at: float) -> None:
         """Note that the list is as new as a question sent at `asked_at`; drop what lapsed."""
@@ -206,14 +210,14 @@
     def _drop_lapsed(self) -> None:
         """Take out what lapsed in an outage and should have been back by now."""
         now = clocks.now_s()
-        for upstream, until in list(self._kept_until_by_id.items()):
+        for upstream, until in list(self._lapse_at_by_id.items()):
             if now >= until:
                 self.drop(upstream)
 
     def drop(self, upstream: UpstreamId) -> None:
         """Take an entry out at once."""
-        self._kept_until_by_id.pop(upstream, None)
-        self._written.discard(upstream)
+        self._lapse_at_by_id.pop(upstream, None)
+        self._written_since_outage.discard(upstream)
         entry = self.by_id.pop(upstream, None)
         if entry is not None:
             self.revision += 1
@@ -221,19 +225,19 @@
             self.cold.keep_only(self.instances())
             logger.info("Upstream %s of %s at %s is gone.", upstream, entry.pool, entry.address)
 
-    def note_leaving(
-        self, instance: UpstreamInstance, request: RequestId | None, teller: str
+    def record_leaving(
+        self, instance: UpstreamInstance, request: RequestId | None, reporter: str
     ) -> None:
-        """Take that a start said that it leaves, in the answer to a request of a host, `teller`.
+        """Take that a start said that it leaves, in the answer to a request of a host, `reporter`.
 
         Its entry may say otherwise until the store takes its next write.
         """
         if instance not in self._leaving:
-            extra = {"request": request, "told_by": teller}
+            extra = {"request": request, "told_by": reporter}
             logger.info("Upstream %s says that it leaves.", instance, extra=extra)
-            self.take_leaving([instance])
+            self.apply_leaving([instance])
 
-    def take_leaving(self, instances: Iterable[UpstreamInstance]) -> None:
+    def apply_leaving(self, instances: Iterable[UpstreamInstance]) -> None:
         """Take which starts said that they leave."""
         for instance in instances:
             if instance in self._leaving:
@@ -252,13 +256,13 @@
 
     def leaving(self) -> tuple[UpstreamInstance, ...]:
         """Return the starts that said lately that they leave, for other hosts."""
-        return tuple(self._leaving)[-TOLD_MAX:]
+        return tuple(self._leaving)[-REPORTED_MAX:]
 
     def recently_gone(self) -> tuple[UpstreamInstance, ...]:
         """Return the starts that were taken out last, for hosts that have just started."""
-        return tuple(self._gone)[-TOLD_MAX:]
+        return tuple(self._gone)[-REPORTED_MAX:]
 
-    def note_gone(self, instances: Iterable[UpstreamInstance]) -> None:
+    def record_gone(self, instances: Iterable[UpstreamInstance]) -> None:
         """Take which starts have left, as another host knows."""
         for instance in instances:
             _remember(self._gone, instance)
