--- a/libs/serving/ruddersaddle_serving/entry_hosts.py
+++ b/libs/serving/ruddersaddle_serving/entry_hosts.py
@@ -116,7 +116,7 @@
         self.link = StoreLink()
         self.publications = Publications()
         self.upstreams = UpstreamList()
-        store.eras.return_listeners.append(self.upstreams.ignore_gone_instances)
+        store.eras.restore_listeners.append(self.upstreams.ignore_gone_instances)
         self.entries = UpstreamFollower(store, self.link, self.upstreams)
         self.trackers = Trackers()
         self.hosts = self._make_hosts(settings)
@@ -336,7 +336,7 @@
             ("configuration_version", "version in force", self.publications.version),
             ("configuration_age_seconds", "age of its confirmation", self.publications.age_s),
             ("store_era", "era of the store", self.store.eras.newest),
-            ("store_returns", "its returns from a copy", self.store.eras.returns),
+            ("store_returns", "its returns from a copy", self.store.eras.restores),
             ("configuration_awaited", "versions that the store lost", self._awaited_count()),
             ("upstreams", "entries of upstreams", len(self.upstreams.by_id)),
             ("upstreams_cold", "upstreams that bear few requests yet", self.shares.count_cold()),
--- a/libs/serving/ruddersaddle_serving/neighbour_messages.py
+++ b/libs/serving/ruddersaddle_serving/neighbour_messages.py
@@ -13,7 +13,7 @@
 from ruddersaddle_serving.ports import START, ModelVersion, StorePosition
 from ruddersaddle_serving.publications import NamingAge
 from ruddersaddle_serving.routes import Published
-from ruddersaddle_serving.store_eras import UNTOLD
+from ruddersaddle_serving.store_eras import ERA_UNKNOWN
 from ruddersaddle_serving.upstream_entries import UpstreamEntry, UpstreamInstance
 
 
@@ -29,7 +29,7 @@
     """Digest of the list of hosts that the asker knows."""
     crashes_revision: int = -1
     """Revision of the peer's own crash records that the asker has."""
-    era: int = UNTOLD
+    era: int = ERA_UNKNOWN
     """Newest era of the store that the asker knows."""
     hosts_position: StorePosition = START
     """Position of the list of hosts that the asker knows."""
@@ -56,9 +56,9 @@
     """Requests of which a run ended whole a short while ago; told with `crashes`."""
     crashes_revision: int = -1
     crashes_age_s: float = float("inf")
-    era: int = UNTOLD
+    era: int = ERA_UNKNOWN
     """Era of the store that `end` belongs to."""
-    known_era: int = UNTOLD
+    known_era: int = ERA_UNKNOWN
     """Newest era of the store that the teller knows."""
     gone: tuple[UpstreamInstance, ...] = ()
     """Starts of upstreams that have left; told with `entries`."""
--- a/libs/serving/ruddersaddle_serving/neighbours.py
+++ b/libs/serving/ruddersaddle_serving/neighbours.py
@@ -34,7 +34,7 @@
     StorePosition,
 )
 from ruddersaddle_serving.publications import Publications
-from ruddersaddle_serving.store_eras import UNTOLD
+from ruddersaddle_serving.store_eras import ERA_UNKNOWN
 from ruddersaddle_serving.tasks import spawn_forever
 from ruddersaddle_serving.trackers import Trackers
 from ruddersaddle_serving.upstream_lists import UpstreamList
@@ -247,7 +247,7 @@
             self.publications.evacuations.replace(halls, is_copy)
 
     def _learn_era(self, era: int) -> None:
-        if era != UNTOLD:
+        if era != ERA_UNKNOWN:
             self.store.eras.learn(era)
 
     def _apply_crashes(self, news: StateUpdate, asked_at: float) -> None:
--- a/libs/serving/ruddersaddle_serving/store_followers.py
+++ b/libs/serving/ruddersaddle_serving/store_followers.py
@@ -42,7 +42,7 @@
 CRASH_FALLBACK_S = 2.4
 """The same as `FALLBACK_S` for crash records, which bind 3 s after a crash also a host that is cut
 off from the others. Told by others they are 2.1 s old at most."""
-LOOK_S = 0.25
+READER_CHECK_S = 0.25
 """Pause of a host that is no reader until it looks again whether it should ask the store."""
 RETRY_S = 0.3
 """Pause after a failed read, with as much again drawn at random, so that hosts spread out."""
@@ -56,7 +56,7 @@
         self.lost_since: float | None = None
         self.answered_at = float("-inf")
 
-    def note(self, answer: object) -> None:
+    def record(self, answer: object) -> None:
         """Take the answer to any call."""
         if isinstance(answer, Failure) and answer.code is not Code.GAP:
             if self.lost_since is None:
@@ -87,12 +87,12 @@
         """Follow the topic for good, while this host is a reader or knows nothing newer."""
         while True:
             if not is_reader() and self.age_s < self.fallback_s:
-                eventlet.sleep(LOOK_S)
+                eventlet.sleep(READER_CHECK_S)
                 continue
             page = self._read(wait_s)
-            self.link.note(page)
+            self.link.record(page)
             if isinstance(page, Failure):
-                self._note_failure(page)
+                self._record_failure(page)
                 eventlet.sleep(RETRY_S * (1 + random.random()))
                 continue
             eventlet.sleep(pause_s)
@@ -105,22 +105,22 @@
             page = self.store.changes(self.topic, self.position, wait_s)
         if isinstance(page, Failure):
             return page
-        whole = self.position is None
+        complete = self.position is None
         if self._era not in (None, page.end.era):
             self.record_restore()
         self._era = page.end.era
-        if self.take(page, whole, asked_at):
+        if self.apply(page, complete, asked_at):
             self.position = page.end
         return page
 
-    def _note_failure(self, failure: Failure) -> None:
+    def _record_failure(self, failure: Failure) -> None:
         if failure.code is Code.GAP:
             logger.info("Topic %s is read whole. %s", self.topic.value, failure.detail)
             self.position = None
         else:
             self.record_outage()
 
-    def take(self, page: Page, whole: bool, asked_at: float) -> bool:
+    def apply(self, page: Page, complete: bool, asked_at: float) -> bool:
         """Take a page; return whether it is not older than what is known."""
         raise NotImplementedError
 
@@ -143,7 +143,7 @@
         super().__init__(store, Topic.OPERATOR, link)
         self.publications = publications
 
-    def take(self, page: Page, whole: bool, asked_at: float) -> bool:
+    def apply(self, page: Page, complete: bool, asked_at: float) -> bool:
         """Take published items, then confirm the belief as of the question."""
         evacuations = []
         for record in page.records:
@@ -157,25 +157,25 @@
                     evacuations.append(item)
                 case Published() | ModelVersion():
                     self.publications.apply(item)
-                    self._note_stored(item)
-        self._take_evacuations(evacuations, whole, page.end)
+                    self._record_stored_version(item)
+        self._apply_evacuations(evacuations, complete, page.end)
         return self.publications.confirm(asked_at, page.end)
 
-    def _take_evacuations(
-        self, evacuations: list[Evacuation], whole: bool, end: StorePosition
+    def _apply_evacuations(
+        self, evacuations: list[Evacuation], complete: bool, end: StorePosition
     ) -> None:
         """Take evacuations; unlike what has versions, one that lags would go back."""
         publications = self.publications
         if end < publications.end:
             return
-        if whole:
+        if complete:
             halls = [each.hall for each in evacuations if each.in_force]
             publications.evacuations.replace(halls, publications.is_of_later_era(end))
             return
         for each in evacuations:
             publications.evacuations.take(each)
 
-    def _note_stored(self, item: Published | ModelVersion) -> None:
+    def _record_stored_version(self, item: Published | ModelVersion) -> None:
         """Tell once when the store has an older configuration than the one in force."""
         if not isinstance(item, Published) or item.version == self.publications.stored_version:
             return
@@ -202,20 +202,20 @@
         self.upstreams = upstreams
         self.unusable = 0
         """Entries that were read and name no upstream to use."""
-        self._is_first = True
+        self._is_first_page = True
         """Whether the next page is the first since the store did not answer: it may hold writes of
         before, whatever other hosts have told of the store's return."""
 
-    def take(self, page: Page, whole: bool, asked_at: float) -> bool:
+    def apply(self, page: Page, complete: bool, asked_at: float) -> bool:
         """Take entries and their ends."""
-        if whole:
+        if complete:
             decoded = [self._decode(record) for record in page.records if record.value]
             entries = [entry for entry in decoded if entry is not None]
             self.upstreams.replace(entries, asked_at)
-            self._is_first = False
+            self._is_first_page = False
             return True
-        put = self.upstreams.put if self._is_first else self.upstreams.put_written
-        self._is_first = False
+        put = self.upstreams.put if self._is_first_page else self.upstreams.put_written
+        self._is_first_page = False
         for record in page.records:
             entry = self._decode(record) if record.value else None
             if entry is not None:
@@ -243,12 +243,12 @@
 
     def record_outage(self) -> None:
         """Entries may lapse while the store is away."""
-        self._is_first = True
+        self._is_first_page = True
         self.upstreams.record_outage()
 
     def record_restore(self) -> None:
         """Entries written since the copy are missing; of those that are there some are over."""
-        self._is_first = True
+        self._is_first_page = True
         self.upstreams.record_restore()
 
 
@@ -262,11 +262,11 @@
         super().__init__(store, Topic.CRASHES, StoreLink("Topic of crash records"))
         self.shares = shares
 
-    def take(self, page: Page, whole: bool, asked_at: float) -> bool:
+    def apply(self, page: Page, complete: bool, asked_at: float) -> bool:
         """Take records, then confirm them as of the question."""
         for record in page.records:
             self.shares.take_record(record)
-        if whole:
+        if complete:
             self.shares.write_missing()
         self.shares.confirm(asked_at)
         return True
--- a/libs/serving/ruddersaddle_serving/tests/lease_models.py
+++ b/libs/serving/ruddersaddle_serving/tests/lease_models.py
@@ -95,7 +95,7 @@
         self.fate = fate
         self.appended = False
         self.eras = StoreEras()
-        self.eras._is_told = True
+        self.eras._is_known = True
         self.eras.newest, self.eras.seen_at = host.era, host.era_seen_at
 
     def changes(self, topic: Topic, since: StorePosition, wait_s: float) -> Page | Failure:
--- a/libs/serving/ruddersaddle_serving/tests/test_evacuations.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_evacuations.py
@@ -70,7 +70,7 @@
         records = tuple(
             Record(hall, b"{}" if in_force else None, 0) for hall, in_force in halls.items()
         )
-        self.follower.take(Page(records, end), whole, self.now)
+        self.follower.apply(Page(records, end), whole, self.now)
 
     def in_force(self) -> tuple[HallId, ...]:
         return self.publications.evacuations.in_force()
