--- a/libs/serving/ruddersaddle_serving/tests/lease_models.py
+++ b/libs/serving/ruddersaddle_serving/tests/lease_models.py
@@ -206,14 +206,18 @@
             lease = FenceLease(view, Incarnation(host.name), LEASE_S)
             for field, value in zip(LEASE_FIELDS, host.fields, strict=True):
                 setattr(lease, field, value)
-            lease._sent = set(host.sent)
+            lease._sent_nonces = set(host.sent)
             with mock.patch.object(fence_leases.secrets, "token_hex", self._make_nonce):
-                lease.take()
+                lease.acquire()
             if view.appended and world.appends == self.bounds.appends:
                 return
             fields = tuple(getattr(lease, field) for field in LEASE_FIELDS)
             after = HostState(
-                host.name, fields, frozenset(lease._sent), view.eras.newest, view.eras.seen_at
+                host.name,
+                fields,
+                frozenset(lease._sent_nonces),
+                view.eras.newest,
+                view.eras.seen_at,
             )
             yield msgspec.structs.replace(
                 _put(world, number, after),
--- a/libs/serving/ruddersaddle_serving/tests/test_fence_leases.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_fence_leases.py
@@ -5,7 +5,7 @@
 from ruddersaddle_base.failures import Code, Failure, Step
 from ruddersaddle_base.ids import Incarnation
 
-from ruddersaddle_serving.fence_leases import FENCES_OF_ERA, MARGIN_S, FenceLease
+from ruddersaddle_serving.fence_leases import FENCES_PER_ERA, MARGIN_S, FenceLease
 from ruddersaddle_serving.ports import Appended, AppendOutcome, Page, Record, StorePosition, Topic
 from ruddersaddle_serving.store_eras import StoreEras
 from ruddersaddle_serving.tests.fixed_clocks import FixedClockTest
@@ -81,48 +81,48 @@
         self.now += LEASE_S + MARGIN_S
 
     def test_one_holder_at_a_time_and_fences_rise(self) -> None:
-        self.assertTrue(self.first.take())
-        self.assertFalse(self.second.take())
+        self.assertTrue(self.first.acquire())
+        self.assertFalse(self.second.acquire())
         self.assertEqual(self.first.fence, 0)
         self.now += 2.0
         self.assertFalse(self.first.may_order)
-        self.assertTrue(self.first.take())
+        self.assertTrue(self.first.acquire())
         self.assertEqual(self.first.fence, 1)
 
     def test_orders_of_two_holders_are_further_apart_than_the_lease(self) -> None:
-        self.first.take()
+        self.first.acquire()
         last_order = self.now
         while self.first.may_order:
             last_order = self.now
             self.now += 0.01
-        while not self.second.take():
+        while not self.second.acquire():
             self.now += 0.01
         self.assertGreater(self.now - last_order, LEASE_S)
         self.assertGreater(self.second.fence, self.first.fence)
 
     def test_holder_that_was_paused_gives_no_order(self) -> None:
-        self.first.take()
+        self.first.acquire()
         self.now += 5.0
-        self.second.take()
+        self.second.acquire()
         self.now += 5.0
-        self.second.take()
+        self.second.acquire()
         self.assertFalse(self.first.may_order)
-        self.assertFalse(self.first.take())
+        self.assertFalse(self.first.acquire())
 
     def test_lost_answer_is_settled_by_reading(self) -> None:
         self.store.lose_answers = 1
-        self.assertTrue(self.first.take())
+        self.assertTrue(self.first.acquire())
         self.assertEqual((self.first.fence, len(self.store.values)), (0, 1))
 
     def test_nothing_is_ordered_while_the_log_is_away(self) -> None:
         self.store.down = True
-        self.assertFalse(self.first.take())
+        self.assertFalse(self.first.acquire())
         self.assertFalse(self.first.may_order)
 
     def wait_for(self, lease: FenceLease) -> float:
         """Return how long a host waits for the lease."""
         began = self.now
-        while not lease.take():
+        while not lease.acquire():
             self.now += 0.01
         return self.now - began
 
@@ -135,14 +135,14 @@
         self.store.come_back(1)
         self.wait_for(self.second)
         self.assertGreater(self.second.fence, before)
-        self.assertEqual(self.second.fence, FENCES_OF_ERA + 1)
+        self.assertEqual(self.second.fence, FENCES_PER_ERA + 1)
 
     def test_successor_waits_a_whole_lease_though_the_holders_record_is_gone(self) -> None:
         self.second.watch()
-        self.first.take()
+        self.first.acquire()
         last_order = self.now
         self.store.come_back(0)
-        while not self.second.take():
+        while not self.second.acquire():
             if self.first.may_order:
                 last_order = self.now
             self.now += 0.01
@@ -156,26 +156,26 @@
         self.assertGreaterEqual(self.wait_for(third), LEASE_S)
 
     def test_holder_gives_no_order_once_a_later_era_is_known(self) -> None:
-        self.first.take()
+        self.first.acquire()
         self.first.store.eras.learn(1)
         self.assertFalse(self.first.may_order)
-        self.assertFalse(self.first.take())
+        self.assertFalse(self.first.acquire())
 
     def test_append_that_is_done_in_a_later_era_gives_no_turn(self) -> None:
         """Its offset was given out again, so that its condition held by chance."""
-        self.first.take()
+        self.first.acquire()
         self.second.watch()
         self.now += 2.0
         self.store.values.append(b"{}")
         self.store.come_back(1)
-        self.assertFalse(self.first.take())
+        self.assertFalse(self.first.acquire())
         self.assertEqual(len(self.store.values), 2)
         self.assertFalse(self.first.is_holder)
         self.assertGreaterEqual(self.wait_for(self.first), LEASE_S)
 
     def test_append_of_an_earlier_era_that_is_done_late_ends_no_other_turn_early(self) -> None:
         """It lands behind the turn of another holder, who may still give orders."""
-        self.first.take()
+        self.first.acquire()
         late = self.store.values[0]
         self.store.come_back(0)
         self.first.store.eras.learn(1)
@@ -186,7 +186,7 @@
 
     def test_no_host_is_kept_from_the_lease_by_an_old_end(self) -> None:
         for _ in range(5):
-            self.first.take()
+            self.first.acquire()
             self.now += 1.0
         self.store.come_back(0)
         self.assertLess(self.wait_for(self.first), LEASE_S + MARGIN_S + 0.1)
--- a/libs/serving/ruddersaddle_serving/tests/test_lease_models.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_lease_models.py
@@ -24,11 +24,11 @@
         self.assertEqual(self.search(), "")
 
     def test_fences_that_are_offsets_alone_are_given_twice(self) -> None:
-        with mock.patch.object(fence_leases, "FENCES_OF_ERA", 0):
+        with mock.patch.object(fence_leases, "FENCES_PER_ERA", 0):
             self.assertIn("fence not above", self.search())
 
     def test_without_the_wait_of_a_new_era_two_hosts_take_turns_within_the_lease(self) -> None:
-        with mock.patch.object(FenceLease, "_is_young_era", lambda self: False):
+        with mock.patch.object(FenceLease, "_is_recent_era", lambda self: False):
             self.assertIn("turns within the lease", self.search())
 
 
--- a/libs/serving/ruddersaddle_serving/tests/test_suspensions.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_suspensions.py
@@ -78,7 +78,7 @@
         store.changes.return_value = Page((), StorePosition(0, 0))
         store.append.return_value = Appended(AppendOutcome.DONE, StorePosition(0, 1))
         lease = FenceLease(store, Incarnation(HostId("h")), 3.0)
-        self.assertTrue(lease.take())
+        self.assertTrue(lease.acquire())
         self.suspend()
         self.assertFalse(lease.may_order)
 
--- a/libs/serving/ruddersaddle_serving/tests/test_weight_rollouts.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_weight_rollouts.py
@@ -55,7 +55,7 @@
         self.upstreams = UpstreamList()
         self.trackers = Trackers()
         self.lease = mock.Mock(is_holder=True, may_order=True, fence=7, holder="host", lease_s=3.0)
-        self.lease.take.return_value = True
+        self.lease.acquire.return_value = True
         self.neighbours = mock.Mock(load_message_at=0.0, live_hosts=["a"], address="a")
         self.neighbours.loads.lag_s = 0.0
 
@@ -123,7 +123,7 @@
         self.assertGreater(hurried, rollouts._room(MODEL, engines, engines))
 
     def test_nothing_is_ordered_without_the_lease(self) -> None:
-        self.lease.take.return_value = False
+        self.lease.acquire.return_value = False
         self.run_for(self.make(2, set()), 4)
         self.assertEqual(self.engines.orders, [])
 
@@ -145,7 +145,7 @@
             for store in stores:
                 store.eras.learn(log.era)
             now = 100.0
-            self.assertTrue(FenceLease(stores[0], Incarnation("frozen"), 3.0).take())
+            self.assertTrue(FenceLease(stores[0], Incarnation("frozen"), 3.0).acquire())
             lease = FenceLease(stores[1], Incarnation("second"), 3.0)
             hosts = rank_names(MODEL, ["a", "b"])
             neighbours = mock.Mock(load_message_at=now, live_hosts=hosts, address=hosts[1])
--- a/libs/serving/ruddersaddle_serving/weight_rollouts.py
+++ b/libs/serving/ruddersaddle_serving/weight_rollouts.py
@@ -105,7 +105,7 @@
         if room <= 0 or not waiting or not self._is_in_turn(model):
             self._watch_lease(model)
             return
-        if not self.lease.take():
+        if not self.lease.acquire():
             return
         waiting.sort(key=lambda each: self._turn(each, model))
         for tracker in waiting[:room]:
@@ -198,7 +198,7 @@
             return False
         if report.version_by_model.get(model, 0) >= version or report.loading:
             return True
-        if not self.lease.take() or not self.lease.may_order:
+        if not self.lease.acquire() or not self.lease.may_order:
             return False
         self.counts["orders"] += 1
         order = Order(
