--- a/libs/serving/ruddersaddle_serving/fence_leases.py
+++ b/libs/serving/ruddersaddle_serving/fence_leases.py
@@ -139,7 +139,7 @@
 
     def _record(self, record: LeaseRecord, end: StorePosition) -> None:
         if self._last is None or record.holder != self._last.holder:
-            logger.info("Lease: held by %s since offset %d.", record.holder, end.offset - 1)
+            logger.info("Lease: %s holds it at offset %d.", record.holder, end.offset - 1)
         self._last = record
         self._last_seen_at = clocks.now_s()
         self._end = end
