--- a/libs/serving/ruddersaddle_serving/entry_hosts.py
+++ b/libs/serving/ruddersaddle_serving/entry_hosts.py
@@ -46,7 +46,7 @@
 from ruddersaddle_serving.replaced_parts import ReplacedParts
 from ruddersaddle_serving.request_ends import cut_fields
 from ruddersaddle_serving.self_reports import SelfReport
-from ruddersaddle_serving.silent_peers import watch_callers
+from ruddersaddle_serving.socket_liveness import set_listener_options
 from ruddersaddle_serving.standstills import Standstills
 from ruddersaddle_serving.store_followers import (
     CRASH_WAIT_S,
@@ -269,7 +269,7 @@
     def _listen(self, name: str, app: Any, protocol: type) -> ServedPort:
         host, _, port = self.settings.text(name).rpartition(":")
         listener = eventlet.listen((host, int(port)), backlog=BACKLOG, reuse_port=False)
-        watch_callers(listener)
+        set_listener_options(listener)
         pool = CallerPool(find_room())
         listener = LastingListener(listener, pool)
         server = eventlet.spawn(
--- a/libs/serving/ruddersaddle_serving/neighbours.py
+++ b/libs/serving/ruddersaddle_serving/neighbours.py
@@ -41,24 +41,24 @@
 
 logger = logging.getLogger(__name__)
 
-ASK_S = 0.4
+ASK_TIMEOUT_S = 0.4
 """Longest wait for a peer's answer; one way between halls takes about a millisecond."""
-OLD_S = 2.3
+STALE_S = 2.3
 """Beliefs older than this are asked of readers also by a reader: its own reads confirm them as of
 1 to 2 s ago, unless the store does not answer it. What is new does not wait for this: readers tell
 one another at once (`Changed`)."""
 ASK_PAUSE_S = 0.6
 """Pause between a host's questions to a reader. With the reader's own reads (a second) the answer
 confirms beliefs well within the shortest bound on them (2 s)."""
-LOOK_S = 0.2
+AGE_CHECK_S = 0.2
 """Pause between looks at the age of beliefs; well below `ASK_PAUSE_S`."""
 CHECK_PAUSE_S = 1.0
 """Pause between looks at the connections to peers, one at a look: each of nine hosts finds a silent
 one within 8 s. Asking all of them each second would be 72 messages a second on every host."""
-START_HOLD_S = 0.6
+START_WAIT_S = 0.6
 """Longest wait of a starting host for others: the list of hosts comes in milliseconds, and what is
 on it is asked at the same time. Beside other work a longer one had callers refused for a second."""
-START_LOOK_S = 0.02
+START_POLL_S = 0.02
 START_ASKS = 3
 """Hosts that a starting host asks beside the readers: after a compaction the store's answers may
 lag, and a peer may know a newer configuration."""
@@ -98,7 +98,7 @@
 
     def start(self) -> None:
         """Listen, make this host known, and keep beliefs young."""
-        self.publications.settling_until = clocks.now_s() + START_HOLD_S
+        self.publications.settling_until = clocks.now_s() + START_WAIT_S
         self.peers.start()
         self.host_list.start()
         spawn_forever("beliefs", self._refresh)
@@ -120,7 +120,7 @@
         """
         until = self.publications.settling_until
         while not self.hosts.is_known and clocks.now_s() < until:
-            eventlet.sleep(START_LOOK_S)
+            eventlet.sleep(START_POLL_S)
         others = self.hosts.addresses()
         asked = random.sample(others, min(START_ASKS, len(others)))
         answers: LightQueue[bool] = LightQueue()
@@ -142,11 +142,11 @@
     def _refresh(self) -> None:
         self._request_state_at_start()
         while True:
-            eventlet.sleep(LOOK_S)
+            eventlet.sleep(AGE_CHECK_S)
             self._broadcast_changes()
             age_s = max(self.publications.age_s, self.upstreams.age_s)
             since_s = clocks.now_s() - self._asked_at
-            if since_s > ASK_PAUSE_S and (age_s > OLD_S or not self.hosts.is_reader()):
+            if since_s > ASK_PAUSE_S and (age_s > STALE_S or not self.hosts.is_reader()):
                 self._request_state_of_reader()
 
     def _broadcast_changes(self) -> None:
@@ -170,7 +170,7 @@
         if not others and known:
             others = [random.choice(known)]
         for address in others:
-            if self._request_state(address) and self.publications.age_s < OLD_S:
+            if self._request_state(address) and self.publications.age_s < STALE_S:
                 return
 
     def _check_connections(self) -> None:
@@ -183,7 +183,7 @@
                 continue
             turn += 1
             address = connected[turn % len(connected)]
-            if isinstance(self.peers.ask(address, Ping(), ASK_S), Failure):
+            if isinstance(self.peers.ask(address, Ping(), ASK_TIMEOUT_S), Failure):
                 self.hosts.record_unresponsive(address)
             else:
                 self.hosts.record_response(address)
@@ -203,7 +203,7 @@
             self.store.eras.newest,
             hosts.position,
         )
-        answer = self.peers.ask(address, question, ASK_S)
+        answer = self.peers.ask(address, question, ASK_TIMEOUT_S)
         if not isinstance(answer, StateUpdate):
             hosts.record_unresponsive(address)
             return False
@@ -367,7 +367,7 @@
             eventlet.spawn(self._send_load_message, address, message)
 
     def _send_load_message(self, address: str, message: Loading | Loaded) -> None:
-        if isinstance(self.peers.ask(address, message, ASK_S), Failure):
+        if isinstance(self.peers.ask(address, message, ASK_TIMEOUT_S), Failure):
             self.hosts.record_unresponsive(address)
 
 
--- a/libs/serving/ruddersaddle_serving/part_relays.py
+++ b/libs/serving/ruddersaddle_serving/part_relays.py
@@ -6,7 +6,7 @@
 from ruddersaddle_base import clocks
 
 from ruddersaddle_serving.kept_parts import SPARE_WATCHERS, KeptParts
-from ruddersaddle_serving.neighbours import ASK_S, Neighbours
+from ruddersaddle_serving.neighbours import ASK_TIMEOUT_S, Neighbours
 from ruddersaddle_serving.part_news import AskParts, PartsNews, Position, take_store
 from ruddersaddle_serving.routes import ContextStore
 from ruddersaddle_serving.tasks import spawn_forever
@@ -71,7 +71,7 @@
             Position(spec.id, self._revision_by_source.get((reader, spec.id), -1)) for spec in specs
         )
         asked_at = clocks.now_s()
-        answer = self.neighbours.peers.ask(reader, AskParts(positions), ASK_S)
+        answer = self.neighbours.peers.ask(reader, AskParts(positions), ASK_TIMEOUT_S)
         if not isinstance(answer, PartsNews):
             logger.info("Reader %s tells nothing of context stores.", reader)
             self.neighbours.hosts.record_unresponsive(reader)
--- a/libs/serving/ruddersaddle_serving/silent_peers.py
+++ b/libs/serving/ruddersaddle_serving/socket_liveness.py
@@ -13,24 +13,24 @@
 """The same for callers, who may read slowly. A full window counts as unacknowledged, too, until
 a whole segment of up to 64 KB fits into it: at 10 s, callers with buffers of 16 KB who read 80 KB/s
 without a pause lost their answers."""
-PROBE_AFTER_S = 1
+KEEPALIVE_IDLE_S = 1
 """A connection is probed when nothing has arrived on it for this long."""
-PROBE_PAUSE_S = 1
-PROBES = 2
+KEEPALIVE_INTERVAL_S = 1
+KEEPALIVE_PROBES = 2
 """Probes without an answer after which a connection is given up: 3 s after it fell silent, unless
 the bound on sent bytes comes first."""
 
 LIVENESS_OPTIONS = (
     (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS),
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
-    (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_AFTER_S),
-    (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_PAUSE_S),
-    (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, PROBES),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S),
+    (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES),
 )
 """Level, name and value of each option."""
 
 
-def watch_callers(listener: socket.socket) -> None:
+def set_listener_options(listener: socket.socket) -> None:
     """Set the options on the listener for callers; what it accepts inherits them."""
     for level, name, value in LIVENESS_OPTIONS:
         listener.setsockopt(level, name, value)
--- a/libs/serving/ruddersaddle_serving/tests/test_upstream_connections.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_upstream_connections.py
@@ -8,7 +8,7 @@
 import socket  # noqa: E402
 import unittest  # noqa: E402
 
-from ruddersaddle_serving.silent_peers import LIVENESS_OPTIONS  # noqa: E402
+from ruddersaddle_serving.socket_liveness import LIVENESS_OPTIONS  # noqa: E402
 from ruddersaddle_serving.upstream_connections import (  # noqa: E402
     Exchange,
     UpstreamConnections,
--- a/libs/serving/ruddersaddle_serving/upstream_connections.py
+++ b/libs/serving/ruddersaddle_serving/upstream_connections.py
@@ -17,7 +17,7 @@
 
 from ruddersaddle_serving.ports import AnswerHead, Wire
 from ruddersaddle_serving.reset_sockets import UpstreamConnection
-from ruddersaddle_serving.silent_peers import LIVENESS_OPTIONS, UNACKNOWLEDGED_MS
+from ruddersaddle_serving.socket_liveness import LIVENESS_OPTIONS, UNACKNOWLEDGED_MS
 
 CONNECT_S = 0.35
 """Longest wait for a connection. Upstreams take one in a few milliseconds; a host that gets no
