--- a/libs/serving/ruddersaddle_serving/tests/test_weight_rollouts.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_weight_rollouts.py
@@ -1,4 +1,4 @@
-"""Tests of bringing engines to new weights."""
+"""Tests of the rollout of new weights to engines."""
 
 import unittest
 from unittest import mock
@@ -21,19 +21,19 @@
 
 MODEL = ModelId("m")
 BOUND_S = 12.0
-"""Bound on replaced weights of today's installations."""
+"""Bound on the use of replaced weights in current installations."""
 
 
 class FakeEngines:
-    """Engines by address; silent ones answer nothing."""
+    """Engines by address; unresponsive ones answer nothing."""
 
-    def __init__(self, silent: set[str]) -> None:
-        self.silent = silent
+    def __init__(self, unresponsive: set[str]) -> None:
+        self.unresponsive = unresponsive
         self.version_by_address: dict[str, int] = {}
         self.orders: list[Order] = []
 
     def report(self, address: str) -> EngineReport | Failure:
-        if address in self.silent:
+        if address in self.unresponsive:
             eventlet.sleep(0.01)
             return Failure(Code.UPSTREAM_FAILED, Step.READ, address)
         version = self.version_by_address.get(address, 1)
@@ -47,7 +47,7 @@
 
 class WeightRolloutsTest(unittest.TestCase):
     def setUp(self) -> None:
-        for name, value in (("TELL_S", 0.0), ("REPORT_S", 0.01)):
+        for name, value in (("PROPAGATION_S", 0.0), ("REPORT_POLL_S", 0.01)):
             patch = mock.patch.object(weight_rollouts, name, value)
             patch.start()
             self.addCleanup(patch.stop)
@@ -59,7 +59,7 @@
         self.neighbours = mock.Mock(load_message_at=0.0, live_hosts=["a"], address="a")
         self.neighbours.loads.lag_s = 0.0
 
-    def make(self, count: int, silent: set[str]) -> WeightRollouts:
+    def make(self, count: int, unresponsive: set[str]) -> WeightRollouts:
         for number in range(count):
             entry = UpstreamEntry(
                 UpstreamId(f"e-{number}"),
@@ -71,7 +71,7 @@
                 {MODEL: 1},
             )
             self.upstreams.put(entry)
-        self.engines = FakeEngines(silent)
+        self.engines = FakeEngines(unresponsive)
         self.publications.apply(ModelVersion(MODEL, 2))
         return WeightRollouts(
             self.lease,
@@ -83,9 +83,9 @@
             self.engines,
         )
 
-    def run_for(self, rollouts: WeightRollouts, looks: int) -> None:
-        for _ in range(looks):
-            rollouts._look(MODEL, 2)
+    def run_for(self, rollouts: WeightRollouts, steps: int) -> None:
+        for _ in range(steps):
+            rollouts._advance(MODEL, 2)
             eventlet.sleep(0.03)
 
     def test_all_engines_get_one_fenced_order(self) -> None:
@@ -95,22 +95,22 @@
         )
         self.assertEqual(found, [("e-0", 2, 7), ("e-1", 2, 7), ("e-2", 2, 7)])
 
-    def test_silent_engine_holds_up_no_other(self) -> None:
+    def test_unresponsive_engine_delays_no_other(self) -> None:
         self.run_for(self.make(4, {"10.0.0.0:1"}), 12)
         self.assertEqual(
             sorted(order.upstream for order in self.engines.orders), ["e-1", "e-2", "e-3"]
         )
 
-    def test_engines_that_a_frozen_giver_empties_hold_up_no_successor(self) -> None:
-        """Found in a hunt: its marks kept all others from giving orders for seven seconds."""
+    def test_marks_of_a_frozen_lease_holder_do_not_block_its_successor(self) -> None:
+        """The marks of the frozen holder kept all other hosts from giving orders for 7 s."""
         rollouts = self.make(4, set())
         self.lease.is_holder = False
         for tracker in rollouts._engines_of(MODEL):
             tracker.avoided_until = clocks.now_s() + 7.0
         self.run_for(rollouts, 2)
         self.assertEqual(self.engines.orders, [])
-        rollouts._moved_at = clocks.now_s() - weight_rollouts.STALLED_S - 0.1
-        rollouts._look(MODEL, 2)
+        rollouts._progressed_at = clocks.now_s() - weight_rollouts.STALLED_S - 0.1
+        rollouts._advance(MODEL, 2)
         self.lease.is_holder = True
         self.run_for(rollouts, 12)
         self.assertEqual(len(self.engines.orders), 4)
@@ -119,15 +119,15 @@
         rollouts = self.make(10, set())
         engines = rollouts._engines_of(MODEL)
         with mock.patch.object(self.publications, "replaced_at_least_s", return_value=60.0):
-            hurried = rollouts._room(MODEL, engines, engines)
-        self.assertGreater(hurried, rollouts._room(MODEL, engines, engines))
+            late = rollouts._free_slots(MODEL, engines, engines)
+        self.assertGreater(late, rollouts._free_slots(MODEL, engines, engines))
 
     def test_nothing_is_ordered_without_the_lease(self) -> None:
         self.lease.acquire.return_value = False
         self.run_for(self.make(2, set()), 4)
         self.assertEqual(self.engines.orders, [])
 
-    def test_host_that_stops_gives_no_orders(self) -> None:
+    def test_stopping_host_gives_no_orders(self) -> None:
         rollouts = self.make(2, set())
         rollouts.stopping = True
         self.run_for(rollouts, 4)
@@ -135,7 +135,7 @@
 
 
 class TakeOverTest(unittest.TestCase):
-    """A holder of the lease that freezes right after it took it."""
+    """The lease holder freezes right after it acquired the lease."""
 
     def test_second_in_line_takes_over_within_half_of_the_bound(self) -> None:
         now = 50.0
@@ -168,7 +168,7 @@
             with mock.patch.object(eventlet, "spawn") as begun:
                 while not begun.called and now < 100.0 + BOUND_S:
                     now += 0.2
-                    rollouts._look(MODEL, 2)
+                    rollouts._advance(MODEL, 2)
         self.assertLessEqual(round(now - 100.0, 1), BOUND_S / 2)
 
 
--- a/libs/serving/ruddersaddle_serving/weight_rollouts.py
+++ b/libs/serving/ruddersaddle_serving/weight_rollouts.py
@@ -1,8 +1,8 @@
-"""Brings engines to newly named weights, a share of them at a time.
+"""Rolls newly named weights out to the engines of a model, a share of them at a time.
 
-Any host may do this; the holder of the lease does. An engine gets no new work from just before its
-order until it has loaded. Its runs go on meanwhile under the new weights; waiting for them to end
-first kept engines idle and measured 0.04 of worth less on days with new weights.
+Any host can do this; the lease holder does. An engine gets no new work from just before its order
+until it has loaded the weights. Its runs continue meanwhile, under the new weights; waiting
+for them to end first leaves engines idle.
 """
 
 import logging
@@ -24,39 +24,41 @@
 
 logger = logging.getLogger(__name__)
 
-LOOK_S = 0.2
-"""Pause between looks while engines are brought to new weights."""
-IDLE_LOOK_S = 0.5
-"""Pause between looks while all engines have the newest weights; the bound is 12 s and more."""
-AT_ONCE_SHARE = 0.4
-"""Share of a pool's engines that load at once; the rest carries the traffic. Where the store of
-weights serves fewer at once, each load takes longer, up to `LOAD_MAX_S`."""
+POLL_S = 0.2
+"""Interval between steps while engines are being updated."""
+IDLE_POLL_S = 0.5
+"""Interval between steps while all engines have the newest weights; short beside the bound on old
+weights, which is 12 s or more."""
+CONCURRENT_SHARE = 0.4
+"""Largest share of a model's engines that load at the same time; the others carry the traffic.
+Where the weights store serves fewer concurrent loads, each takes longer, up to `LOAD_MAX_S`."""
 LOAD_S = 2.5
-"""How long an engine is out of rotation: the known kinds load in 0.9 to 1.3 s when few do at once;
-the rest is the lag of its report, and for a store of weights that is busy."""
-TIME_SHARE = 0.75
-"""Share of the bound on old weights within which all engines are to be brought over; the rest is
-left for orders that are lost and engines that come late."""
-TELL_S = 0.05
-"""Until all hosts have heard that an engine gets no new work."""
-REPORT_S = 0.25
-"""Pause between looks at an engine's report, which is some hundred milliseconds old itself."""
+"""Assumed time for which an engine is out of rotation: the known kinds load in 0.9 to 1.3 s when
+few load at once; the rest covers the lag of the engine's report and a busy weights store."""
+BOUND_SHARE = 0.75
+"""Share of the bound on old weights within which all engines should be updated; the rest is a
+reserve for lost orders and engines that join late."""
+PROPAGATION_S = 0.05
+"""Time until all hosts have received the message that an engine gets no new work."""
+REPORT_POLL_S = 0.25
+"""Interval between reads of an engine's report, which itself lags by some hundred milliseconds."""
 LOAD_MAX_S = 6.0
-"""An engine that does not show the new weights after this long is tried again. A load takes 1.3 s,
-longer when many load, and waits for runs that have to end."""
-UNANSWERED_S = 2.5
-"""An order without an answer is given again after this long if the engine shows no sign of it."""
+"""Time-out of a load, after which the engine is tried again. A load takes 1.3 s, longer when many
+engines load, and waits for runs that must end first."""
+ORDER_RETRY_S = 2.5
+"""Time after which a load ends as failed if the engine's report shows no load in progress, as when
+the order was lost."""
 STALLED_S = 2.5
-"""A host that is not first in line for the lease acts when nothing has moved for this long, and for
-`RANK_S` longer for each host before it."""
-RANK_S = 0.6
+"""A host that is not ranked first acts when the rollout has made no progress for this long, plus
+`RANK_DELAY_S` for each host ranked before it."""
+RANK_DELAY_S = 0.6
 WATCHERS = 4
-"""Hosts first in line that follow the lease while engines are brought to new weights; each read is
-a call to the store."""
+"""Number of first-ranked hosts that follow the lease during a rollout; each read is a call to the
+store."""
 
 
 class WeightRollouts:
-    """The task that gives orders while this host holds the lease."""
+    """The task that gives load orders to engines while this host holds the lease."""
 
     def __init__(
         self,
@@ -77,11 +79,11 @@
         self.engines = engines
         self.counts = {"orders": 0, "orders_fenced": 0, "loads": 0}
         self.stopping = False
-        self._begun: set[UpstreamId] = set()
+        self._in_progress: set[UpstreamId] = set()
         self._failed_at: dict[UpstreamId, float] = {}
-        """When an engine was last tried in vain."""
-        self._left: dict[ModelId, int] = {}
-        self._moved_at = clocks.now_s()
+        """When the last load of an engine failed."""
+        self._outdated_count_by_model: dict[ModelId, int] = {}
+        self._progressed_at = clocks.now_s()
         self._fenced_until = float("-inf")
 
     def start(self) -> None:
@@ -91,76 +93,79 @@
     def _run(self) -> None:
         while True:
             for model, version in list(self.publications.version_by_model.items()):
-                self._look(model, version)
-            eventlet.sleep(LOOK_S if any(self._left.values()) else IDLE_LOOK_S)
+                self._advance(model, version)
+            eventlet.sleep(POLL_S if any(self._outdated_count_by_model.values()) else IDLE_POLL_S)
 
-    def _look(self, model: ModelId, version: int) -> None:
+    def _advance(self, model: ModelId, version: int) -> None:
         engines = self._engines_of(model)
         outdated = [each for each in engines if each.version_by_model.get(model, 0) < version]
-        self._note_progress(model, len(outdated))
+        self._record_progress(model, len(outdated))
         if not outdated:
             return
-        room = self._room(model, engines, outdated)
-        waiting = [each for each in outdated if each.id not in self._begun]
-        if room <= 0 or not waiting or not self._is_in_turn(model):
+        slots = self._free_slots(model, engines, outdated)
+        waiting = [each for each in outdated if each.id not in self._in_progress]
+        if slots <= 0 or not waiting or not self._may_act(model):
             self._watch_lease(model)
             return
         if not self.lease.acquire():
             return
-        waiting.sort(key=lambda each: self._turn(each, model))
-        for tracker in waiting[:room]:
-            self._begun.add(tracker.id)
-            eventlet.spawn(self._bring, tracker, model, version)
+        waiting.sort(key=lambda each: self._priority(each, model))
+        for tracker in waiting[:slots]:
+            self._in_progress.add(tracker.id)
+            eventlet.spawn(self._update_engine, tracker, model, version)
 
     def _watch_lease(self, model: ModelId) -> None:
-        """Follow the lease if this host is among the next in line."""
+        """Follow the lease if this host is among the next to take over."""
         if rank_for_duty(model, self.neighbours) < WATCHERS and not self.stopping:
             self.lease.watch()
 
-    def _turn(self, tracker: Tracker, model: ModelId) -> tuple[float, int, int]:
-        """Order engines: those that were not tried in vain, then the oldest weights, the emptiest.
+    def _priority(self, tracker: Tracker, model: ModelId) -> tuple[float, int, int]:
+        """Return the sort key of an engine: no failed load, oldest weights, fewest tokens first.
 
-        The bound on the oldest weights ends first; a silent engine must not hold up the others.
+        The bound on the oldest weights expires first; an unresponsive engine must not delay the
+        others.
         """
         failed_at = self._failed_at.get(tracker.id, float("-inf"))
         return failed_at, tracker.version_by_model.get(model, 0), tracker.load.tokens
 
     def _engines_of(self, model: ModelId) -> list[Tracker]:
-        """Return the engines that have a model and stay."""
+        """Return the engines that serve a model and are not leaving."""
         entries = self.upstreams.by_id.values()
         found = [each for each in entries if model in each.version_by_model and not each.leaving]
         return [self.trackers.at(entry) for entry in found]
 
-    def _room(self, model: ModelId, engines: list[Tracker], outdated: list[Tracker]) -> int:
-        """Return how many engines more may begin: no more at once than the time asks for.
+    def _free_slots(self, model: ModelId, engines: list[Tracker], outdated: list[Tracker]) -> int:
+        """Return how many more engines may start loading: no more than the remaining time requires.
 
         The time counts from the first weights that are newer than those of any engine.
         """
         replaced_s = self.publications.replaced_at_least_s
         known_s = max(replaced_s(model, each.version_by_model.get(model, 0)) for each in outdated)
-        left_s = max(LOAD_S, self.weights_s * TIME_SHARE - known_s)
+        left_s = max(LOAD_S, self.weights_s * BOUND_SHARE - known_s)
         needed = math.ceil(len(outdated) * LOAD_S / left_s)
-        most = max(1, int(len(engines) * AT_ONCE_SHARE))
-        busy = sum(each.id in self._begun or self._is_with_other(each) for each in engines)
-        return min(most, needed) - busy
+        concurrent_max = max(1, int(len(engines) * CONCURRENT_SHARE))
+        busy = sum(
+            each.id in self._in_progress or self._is_loading_elsewhere(each) for each in engines
+        )
+        return min(concurrent_max, needed) - busy
 
-    def _is_with_other(self, tracker: Tracker) -> bool:
-        """Return whether another host is loading an engine.
+    def _is_loading_elsewhere(self, tracker: Tracker) -> bool:
+        """Return whether another host is updating an engine.
 
-        Its marks hold up nobody once it can give no orders any more, because this host has the
-        lease, or once it has done nothing for a while: it may be frozen or gone.
+        The marks of another host are ignored once this host holds the lease, so that the other can
+        give no more orders, or once there was no progress for a while: it may be frozen or gone.
         """
-        is_stalled = clocks.now_s() - self._moved_at > STALLED_S
+        is_stalled = clocks.now_s() - self._progressed_at > STALLED_S
         return tracker.is_avoided and not self.lease.is_holder and not is_stalled
 
-    def _note_progress(self, model: ModelId, left: int) -> None:
-        if self._left.get(model, 0) != left:
-            self._left[model] = left
-            self._moved_at = clocks.now_s()
-        self._moved_at = max(self._moved_at, self.neighbours.load_message_at)
+    def _record_progress(self, model: ModelId, outdated: int) -> None:
+        if self._outdated_count_by_model.get(model, 0) != outdated:
+            self._outdated_count_by_model[model] = outdated
+            self._progressed_at = clocks.now_s()
+        self._progressed_at = max(self._progressed_at, self.neighbours.load_message_at)
 
-    def _is_in_turn(self, model: ModelId) -> bool:
-        """Return whether this host is first in line, or those before it do nothing."""
+    def _may_act(self, model: ModelId) -> bool:
+        """Return whether this host is ranked first, or the hosts before it make no progress."""
         now = clocks.now_s()
         if self.stopping or now < self._fenced_until:
             return False
@@ -169,32 +174,32 @@
         rank = rank_for_duty(model, self.neighbours)
         if rank == 0:
             return True
-        return now - self._moved_at > STALLED_S + RANK_S * rank
+        return now - self._progressed_at > STALLED_S + RANK_DELAY_S * rank
 
     # One engine
 
-    def _bring(self, tracker: Tracker, model: ModelId, version: int) -> None:
+    def _update_engine(self, tracker: Tracker, model: ModelId, version: int) -> None:
         try:
             self.neighbours.broadcast(Loading(tracker.id, LOAD_MAX_S))
-            eventlet.sleep(TELL_S + self.neighbours.loads.lag_s)
-            if self._order(tracker, model, version) and self._await_version(
+            eventlet.sleep(PROPAGATION_S + self.neighbours.loads.lag_s)
+            if self._send_order(tracker, model, version) and self._await_version(
                 tracker, model, version
             ):
                 self.counts["loads"] += 1
                 self.neighbours.broadcast(Loaded(tracker.id, model, version))
                 return
             self._failed_at[tracker.id] = clocks.now_s()
-            # It takes work again on the weights that it has, until it is tried again.
+            # The engine takes work again with the weights that it has, until the next attempt.
             held = tracker.version_by_model.get(model, 0)
             self.neighbours.broadcast(Loaded(tracker.id, model, held))
         finally:
-            self._begun.discard(tracker.id)
+            self._in_progress.discard(tracker.id)
 
-    def _order(self, tracker: Tracker, model: ModelId, version: int) -> bool:
-        """Give the order; return whether the engine has taken it or may have."""
+    def _send_order(self, tracker: Tracker, model: ModelId, version: int) -> bool:
+        """Send the order; return whether the engine has accepted it or may have."""
         report = self.engines.report(tracker.entry.address)
         if isinstance(report, Failure):
-            logger.info("Engine %s gives no report. %s", tracker.id, report.detail)
+            logger.info("Report of engine %s could not be read. %s", tracker.id, report.detail)
             return False
         if report.version_by_model.get(model, 0) >= version or report.loading:
             return True
@@ -230,10 +235,10 @@
         )
 
     def _await_version(self, tracker: Tracker, model: ModelId, version: int) -> bool:
-        """Wait for the new weights; return whether the engine shows them."""
+        """Wait until the engine reports the new weights; return whether it did."""
         began = clocks.now_s()
         while clocks.now_s() - began < LOAD_MAX_S:
-            eventlet.sleep(REPORT_S)
+            eventlet.sleep(REPORT_POLL_S)
             report = self.engines.report(tracker.entry.address)
             if tracker.id not in self.upstreams.by_id:
                 return False
@@ -242,6 +247,6 @@
             if report.version_by_model.get(model, 0) >= version:
                 tracker.take_version(model, report.version_by_model[model])
                 return True
-            if not report.loading and clocks.now_s() - began > UNANSWERED_S:
+            if not report.loading and clocks.now_s() - began > ORDER_RETRY_S:
                 return False
         return False
