--- a/libs/serving/ruddersaddle_serving/tests/test_fence_leases.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_fence_leases.py
@@ -1,4 +1,4 @@
-"""Tests of the lease to give orders, over a log that loses answers and is late."""
+"""Tests of the fence lease, over a log that loses answers and applies appends late."""
 
 import unittest
 
@@ -14,7 +14,7 @@
 
 
 class LogStore:
-    """A topic in memory; `lose_answers` appends are done without an answer."""
+    """A topic in memory; the next `lose_answers` appends are applied without an answer."""
 
     def __init__(self) -> None:
         self.values: list[bytes] = []
@@ -26,14 +26,14 @@
     def end(self) -> StorePosition:
         return StorePosition(self.era, len(self.values))
 
-    def come_back(self, count: int) -> None:
-        """Begin a new era with the first so many records."""
+    def restore(self, count: int) -> None:
+        """Begin a new era with the first `count` records."""
         self.values = self.values[:count]
         self.era += 1
 
 
 class StoreView:
-    """The store as one host knows it."""
+    """The store as one host reaches it, with the eras that the host has seen."""
 
     def __init__(self, log: LogStore) -> None:
         self.log = log
@@ -120,19 +120,19 @@
         self.assertFalse(self.first.may_order)
 
     def wait_for(self, lease: FenceLease) -> float:
-        """Return how long a host waits for the lease."""
+        """Return how long a host waits until it acquires the lease."""
         began = self.now
         while not lease.acquire():
             self.now += 0.01
         return self.now - began
 
     def test_fences_rise_where_the_store_gives_offsets_out_again(self) -> None:
-        """Two holders had the same fence, or the later one the lower."""
+        """With offsets alone as fences, two holders got the same fence or the later a lower one."""
         for _ in range(3):
             self.wait_for(self.first)
             self.now += 1.0
         before = self.first.fence
-        self.store.come_back(1)
+        self.store.restore(1)
         self.wait_for(self.second)
         self.assertGreater(self.second.fence, before)
         self.assertEqual(self.second.fence, FENCES_PER_ERA + 1)
@@ -141,7 +141,7 @@
         self.second.watch()
         self.first.acquire()
         last_order = self.now
-        self.store.come_back(0)
+        self.store.restore(0)
         while not self.second.acquire():
             if self.first.may_order:
                 last_order = self.now
@@ -151,7 +151,7 @@
     def test_host_that_has_just_started_waits_a_whole_lease_in_an_era_that_it_can_not_date(
         self,
     ) -> None:
-        self.store.come_back(0)
+        self.store.restore(0)
         third = FenceLease(StoreView(self.store), Incarnation("third"), LEASE_S)
         self.assertGreaterEqual(self.wait_for(third), LEASE_S)
 
@@ -161,34 +161,34 @@
         self.assertFalse(self.first.may_order)
         self.assertFalse(self.first.acquire())
 
-    def test_append_that_is_done_in_a_later_era_gives_no_turn(self) -> None:
-        """Its offset was given out again, so that its condition held by chance."""
+    def test_append_that_is_applied_in_a_later_era_starts_no_term(self) -> None:
+        """Its offset was assigned again after the restore, so that its condition held by chance."""
         self.first.acquire()
         self.second.watch()
         self.now += 2.0
         self.store.values.append(b"{}")
-        self.store.come_back(1)
+        self.store.restore(1)
         self.assertFalse(self.first.acquire())
         self.assertEqual(len(self.store.values), 2)
         self.assertFalse(self.first.is_holder)
         self.assertGreaterEqual(self.wait_for(self.first), LEASE_S)
 
     def test_append_of_an_earlier_era_that_is_done_late_ends_no_other_turn_early(self) -> None:
-        """It lands behind the turn of another holder, who may still give orders."""
+        """The late record follows that of another holder, which may still give orders."""
         self.first.acquire()
         late = self.store.values[0]
-        self.store.come_back(0)
+        self.store.restore(0)
         self.first.store.eras.learn(1)
         self.wait_for(self.second)
         self.store.values.append(late)
         self.assertTrue(self.second.may_order)
         self.assertGreaterEqual(self.wait_for(self.first), LEASE_S)
 
-    def test_no_host_is_kept_from_the_lease_by_an_old_end(self) -> None:
+    def test_end_position_of_an_earlier_era_keeps_no_host_from_the_lease(self) -> None:
         for _ in range(5):
             self.first.acquire()
             self.now += 1.0
-        self.store.come_back(0)
+        self.store.restore(0)
         self.assertLess(self.wait_for(self.first), LEASE_S + MARGIN_S + 0.1)
 
 
--- a/libs/serving/ruddersaddle_serving/tests/test_lease_models.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_lease_models.py
@@ -1,4 +1,4 @@
-"""The lease holds in every interleaving within bounds, and does not without its mechanisms."""
+"""The invariants of the lease hold in every interleaving, and fail without its mechanisms."""
 
 import logging
 import unittest
@@ -16,20 +16,20 @@
 
     def search(self, bounds: Bounds = Bounds()) -> str:  # noqa: B008
         search = LeaseSearch(bounds)
-        broken = search.run()
-        print(f"{self.id().rpartition('.')[2]}: {search.states} states, {broken or 'nothing'}")
-        return broken
+        violation = search.run()
+        print(f"{self.id().rpartition('.')[2]}: {search.states} states, {violation or 'nothing'}")
+        return violation
 
-    def test_no_promise_is_broken(self) -> None:
+    def test_no_invariant_is_violated(self) -> None:
         self.assertEqual(self.search(), "")
 
-    def test_fences_that_are_offsets_alone_are_given_twice(self) -> None:
+    def test_fences_made_of_offsets_alone_repeat(self) -> None:
         with mock.patch.object(fence_leases, "FENCES_PER_ERA", 0):
             self.assertIn("fence not above", self.search())
 
-    def test_without_the_wait_of_a_new_era_two_hosts_take_turns_within_the_lease(self) -> None:
+    def test_without_the_wait_in_a_new_era_two_hosts_give_orders_within_the_lease(self) -> None:
         with mock.patch.object(FenceLease, "_is_recent_era", lambda self: False):
-            self.assertIn("turns within the lease", self.search())
+            self.assertIn("orders within the lease", self.search())
 
 
 if __name__ == "__main__":
--- a/libs/serving/ruddersaddle_serving/tests/test_suspensions.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_suspensions.py
@@ -1,8 +1,8 @@
-"""A host that was suspended for seconds takes nothing for as young as it was before.
+"""After a suspension of the host, ages and leases include the time of the suspension.
 
-The steady clock stands still meanwhile. By it, a configuration that was read 5 s before in truth
-was 0 s old, so that callers' keys that had been taken away were let in, and a lease of 0.9 s was
-still held.
+The monotonic clock stops while the host is suspended. Measured with it, a configuration read 5 s
+ago was 0 s old, so that revoked keys of callers were still accepted, and a lease of 0.9 s counted
+as held.
 """
 
 import re
@@ -31,8 +31,8 @@
 SUSPENDED_S = 6.0
 ROUTE = Route(RouteName("r"), "h", "/", RouteKind.ONCE, 5.0, 0.4, ())
 CLOCK_READ = re.compile(r"\btime\.(time|monotonic|perf_counter|clock_gettime)\b")
-STANDING_MODULES = {"clocks.py": "the clocks themselves", "bounded_outputs.py": "lines a second"}
-"""Modules that may read clocks by themselves, each with its reason."""
+EXEMPT_MODULES = {"clocks.py": "the clocks themselves", "bounded_outputs.py": "lines a second"}
+"""Modules that may read clocks directly, each with its reason."""
 
 
 class SuspensionTest(unittest.TestCase):
@@ -50,7 +50,7 @@
         self.publications.confirm(clocks.now_s(), StorePosition(0, 1))
 
     def suspend(self) -> None:
-        """Stand still while the time goes on."""
+        """Suspend the host: real time passes, the monotonic clock stops."""
         self.suspended_s += SUSPENDED_S
 
     def make_request(self) -> CallerRequest:
@@ -58,7 +58,7 @@
         workspace = Workspace(WorkspaceId("w"), None, False)
         return CallerRequest(head, "POST", "/", b"", ROUTE, workspace, clocks.now_s())
 
-    def test_key_is_not_let_in_on_a_configuration_from_before(self) -> None:
+    def test_key_is_not_accepted_on_a_configuration_from_before(self) -> None:
         forwarder = Forwarder(
             mock.Mock(),
             mock.Mock(),
@@ -82,25 +82,25 @@
         self.suspend()
         self.assertFalse(lease.may_order)
 
-    def test_time_of_a_request_is_over(self) -> None:
+    def test_deadline_of_a_request_has_passed(self) -> None:
         request = self.make_request()
         self.suspend()
         self.assertLess(request.remaining_s, 0)
 
-    def test_entries_are_as_old_as_they_are(self) -> None:
+    def test_list_of_upstreams_is_out_of_date(self) -> None:
         upstreams = UpstreamList()
         upstreams.replace([], clocks.now_s())
         self.suspend()
         self.assertFalse(upstreams.is_up_to_date)
 
-    def test_replaced_weights_are_left(self) -> None:
+    def test_replaced_weights_are_no_longer_used(self) -> None:
         model = ModelId("m")
         for version in (1, 2):
             self.publications.apply(ModelVersion(model, version))
         self.suspend()
         self.assertTrue(self.publications.is_replaced_for(model, 1, SUSPENDED_S - 0.1))
 
-    def test_it_is_told_as_a_standstill(self) -> None:
+    def test_suspension_is_reported_as_a_stall(self) -> None:
         standstills = Standstills()
         slept_at = clocks.now_s()
         self.suspend()
@@ -109,13 +109,13 @@
 
 
 class ClockReadsTest(unittest.TestCase):
-    def test_no_module_reads_a_clock_by_itself(self) -> None:
+    def test_no_other_module_reads_a_clock_directly(self) -> None:
         folders = [Path(each.__file__).parent for each in (ruddersaddle_serving, ruddersaddle_base)]
         found = [
             f"{path.name}:{number}"
             for folder in folders
             for path in sorted(folder.glob("*.py"))
-            if path.name not in STANDING_MODULES
+            if path.name not in EXEMPT_MODULES
             for number, line in enumerate(path.read_text().splitlines(), 1)
             if CLOCK_READ.search(line)
         ]
