--- a/libs/serving/ruddersaddle_serving/publications.py
+++ b/libs/serving/ruddersaddle_serving/publications.py
@@ -1,4 +1,4 @@
-"""What this host believes of what operators published, and how young that belief is."""
+"""This host's view of what operators published, and the age of that view."""
 
 import logging
 from collections.abc import Callable, Iterable
@@ -16,13 +16,15 @@
 
 START_GRACE_S = 2.0
 """How long a host that has just started uses weights that were replaced before its start. The bound
-on them may be over; a host counts as in touch with the platform from 3 s after its start."""
+on their use may have passed already; a host counts as in touch with the platform from 3 s after
+its start."""
 
 
 class Naming(msgspec.Struct, frozen=True):
-    """Weights that were named; times are of the steady clock.
+    """A naming: an operator's record that makes a version of weights the newest of its model.
 
-    They were not named yet at `not_before`, when this host's belief was last confirmed before.
+    Times are of the steady clock. The version was not named yet at `not_before`, the last time
+    before `received_at` at which this host's view was confirmed.
     """
 
     version: int
@@ -31,21 +33,22 @@
 
 
 class NamingAge(msgspec.Struct, frozen=True, array_like=True):
-    """How long ago weights were named, as one host tells another; ages in seconds."""
+    """How long ago a version of weights was named, as sent to other hosts; ages in seconds."""
 
     model: ModelId
     version: int
     received_s: float
-    """Since when the teller has known of them."""
+    """Time for which the sender has known of the naming."""
     not_before_s: float
-    """Since when they may have been named: it knew before that they were not."""
+    """Longest time for which the version may have been named: the sender's view before that was
+    confirmed without it."""
 
 
 class Publications:
     """The newest configuration and the newest named weights.
 
-    Within one process neither ever goes back. `confirmed_at` is the steady time at which the
-    question was sent whose answer last showed that nothing newer had been published.
+    Within one process neither ever goes back to an older version. `confirmed_at` is the time, by
+    the steady clock, of the last request whose response showed that nothing newer was published.
     """
 
     def __init__(self) -> None:
@@ -55,15 +58,15 @@
         self.namings_by_model: dict[ModelId, list[Naming]] = {}
         self.evacuations = Evacuations()
         self.listeners: list[Callable[[RouteTable], None]] = []
-        """Called at once with each configuration that comes into force."""
+        """Called synchronously with each configuration that comes into force."""
         self.end = START
-        """Position that follows the newest record that was taken into account."""
+        """Position after the newest record that was applied."""
         self.settling_until = float("-inf")
-        """Until then nothing counts as confirmed: a host that has just started asks others first,
-        as the store may have come back from a copy that still has what was taken away."""
+        """Until then nothing counts as confirmed: a host that has just started asks other hosts
+        first, as the store may have been restored from a copy that still has revoked items."""
         self.stored_version = 0
-        """Version of the configuration that the store has; one that has come back from an earlier
-        copy has an older one than is in force until operators write theirs again."""
+        """Version of the configuration in the store. After a restore from an earlier copy it is
+        older than the one in force until operators publish theirs again."""
 
     @property
     def version(self) -> int:
@@ -72,16 +75,16 @@
 
     @property
     def age_s(self) -> float:
-        """Seconds since the belief was last known to be the newest."""
+        """Seconds since this view was last confirmed to be the newest."""
         return float("inf") if self.is_settling else clocks.now_s() - self.confirmed_at
 
     @property
     def is_settling(self) -> bool:
-        """Whether this host has just started and still asks others what is in force."""
+        """Whether this host has just started and is still asking other hosts what is in force."""
         return clocks.now_s() < self.settling_until
 
     def apply(self, item: Published | ModelVersion) -> None:
-        """Take one published item if it is newer than what is known."""
+        """Apply a published item if it is newer than the known one."""
         match item:
             case Published():
                 self._apply_configuration(item)
@@ -106,7 +109,7 @@
         self.namings_by_model.setdefault(named.model, []).append(naming)
 
     def naming_ages(self) -> tuple[NamingAge, ...]:
-        """Return the ages of all namings that this host has seen come."""
+        """Return the ages of all namings that became known while this host was running."""
         now = clocks.now_s()
         return tuple(
             NamingAge(model, each.version, now - each.received_at, now - each.not_before)
@@ -116,10 +119,10 @@
         )
 
     def apply_naming_ages(self, ages: Iterable[NamingAge], asked_at: float) -> None:
-        """Take when another host heard of weights, dated from when it was asked.
+        """Apply the ages of namings that another host reported, relative to the request's time.
 
-        A host that has just started learns by it how long old weights may be used; by itself it
-        would leave them after `START_GRACE_S`, when few engines may have newer ones yet.
+        They tell a host that has just started how long old weights may still be used; otherwise it
+        stops using them after `START_GRACE_S`, when few engines may have newer ones yet.
         """
         for age in ages:
             reported = Naming(age.version, asked_at - age.not_before_s, asked_at - age.received_s)
@@ -130,14 +133,15 @@
             self.namings_by_model[age.model] = [by_version[each] for each in sorted(by_version)]
 
     def replaced_at_least_s(self, model: ModelId, version: int) -> float:
-        """Return the time for which this host has known that newer weights are named."""
+        """Return how long this host has known that newer weights are named; 0 if there are none."""
         naming = self._first_after(model, version)
         return 0.0 if naming is None else clocks.now_s() - naming.received_at
 
     def is_replaced_for(self, model: ModelId, version: int, bound_s: float) -> bool:
         """Return whether newer weights may have been named longer ago than a bound.
 
-        A host that has just started can't know when; it takes the bound as over soon.
+        A host that has just started can't know when they were named; it assumes that the bound has
+        passed after `START_GRACE_S`.
         """
         naming = self._first_after(model, version)
         if naming is None:
@@ -151,13 +155,13 @@
         return next((each for each in namings if each.version > version), None)
 
     def is_of_later_era(self, end: StorePosition) -> bool:
-        """Return whether the store has come back from a copy since this host last heard of it."""
+        """Return whether the store was restored from a copy after the last confirmation."""
         return self.end != START and end.era > self.end.era
 
     def confirm(self, asked_at: float, end: StorePosition) -> bool:
-        """Note an answer to a question sent at `asked_at`; refuse one that lags behind."""
+        """Record a response to a request sent at `asked_at`; reject one that lags behind."""
         if end < self.end:
-            logger.warning("Answer of the store lags: it ends at %s, known is %s.", end, self.end)
+            logger.warning("Response of the store lags: it ends at %s, known is %s.", end, self.end)
             return False
         self.end = end
         self.confirmed_at = max(self.confirmed_at, asked_at)
--- a/libs/serving/ruddersaddle_serving/tests/test_publications.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_publications.py
@@ -1,4 +1,4 @@
-"""Tests of what a host believes of published items."""
+"""Tests of a host's view of published items."""
 
 import unittest
 
@@ -26,7 +26,7 @@
         self.assertEqual(publications.version, 5)
         self.assertEqual(publications.version_by_model, {MODEL: 5})
 
-    def test_age_counts_from_the_question(self) -> None:
+    def test_age_counts_from_the_request(self) -> None:
         publications = Publications()
         asked_at = clocks.now_s() - 2.0
         self.assertTrue(publications.confirm(asked_at, StorePosition(0, 4)))
@@ -34,7 +34,7 @@
         publications.confirm(asked_at - 1.0, StorePosition(0, 4))
         self.assertLess(publications.age_s, 2.5)
 
-    def test_answer_that_lags_confirms_nothing(self) -> None:
+    def test_response_that_lags_confirms_nothing(self) -> None:
         publications = Publications()
         publications.confirm(clocks.now_s() - 9.0, StorePosition(0, 7))
         self.assertFalse(publications.confirm(clocks.now_s(), StorePosition(0, 6)))
@@ -42,15 +42,15 @@
 
 
 class ListenersTest(unittest.TestCase):
-    """Incidents of December: hosts that came back knew engines' memory and stores a second late."""
+    """Without listeners, restarted hosts learnt of engines' memory and of stores a second late."""
 
-    def test_listeners_hear_of_a_configuration_before_anything_is_served_by_it(self) -> None:
+    def test_listeners_are_called_before_anything_is_served_by_a_configuration(self) -> None:
         publications = Publications()
-        heard = []
-        publications.listeners.append(lambda table: heard.append(table.published.version))
+        versions = []
+        publications.listeners.append(lambda table: versions.append(table.published.version))
         for version in (3, 3, 2, 4):
             publications.apply(Published(version))
-        self.assertEqual(heard, [3, 4])
+        self.assertEqual(versions, [3, 4])
 
 
 class NamingsTest(FixedClockTest):
@@ -59,13 +59,13 @@
         self.publications = Publications()
 
     def not_before_s(self) -> dict[int, float]:
-        """Return since when each weights may have been named, where this host saw them come."""
+        """Return the longest possible age of each naming that this host has dated."""
         return {each.version: each.not_before_s for each in self.publications.naming_ages()}
 
     def replaced_s(self, version: int) -> float:
         return self.publications.replaced_at_least_s(MODEL, version)
 
-    def test_weights_were_replaced_between_the_last_confirmation_and_the_news(self) -> None:
+    def test_weights_were_replaced_between_the_last_confirmation_and_the_naming(self) -> None:
         self.publications.confirm(99.0, StorePosition(0, 1))
         self.publications.apply(ModelVersion(MODEL, 2))
         self.now += 3.0
@@ -77,8 +77,8 @@
         self.now += 3.0
         self.assertEqual((self.replaced_s(1), self.not_before_s()), (3.0, {}))
 
-    def test_host_that_has_just_started_soon_leaves_weights_that_were_replaced_before(self) -> None:
-        """Found in a hunt: after a common restart the bound on old weights began anew."""
+    def test_host_that_has_just_started_soon_stops_using_weights_replaced_before(self) -> None:
+        """After a restart of all hosts, the bound on old weights started again from zero."""
         publications = Publications()
         publications.apply(ModelVersion(MODEL, 2))
         publications.confirm(self.now, StorePosition(0, 1))
@@ -93,7 +93,7 @@
         self.assertTrue(publications.is_replaced_for(MODEL, 2, 9.5))
 
     def test_host_that_has_just_started_learns_from_others_when_weights_were_replaced(self) -> None:
-        """Found in reading: it left old weights after 2 s, when few engines had newer ones."""
+        """Without the ages it stopped using old weights after 2 s, when few engines had newer."""
         self.publications.confirm(self.now, StorePosition(0, 1))
         for version in (2, 3):
             self.publications.apply(ModelVersion(MODEL, version))
@@ -110,7 +110,7 @@
         self.assertTrue(started.is_replaced_for(MODEL, 1, 9.5))
         self.assertFalse(started.is_replaced_for(MODEL, 2, 9.5))
 
-    def test_hosts_that_have_all_just_started_tell_nothing_of_ages(self) -> None:
+    def test_hosts_that_have_all_just_started_report_no_ages(self) -> None:
         self.publications.apply(ModelVersion(MODEL, 2))
         self.assertEqual(self.publications.naming_ages(), ())
 
