--- a/libs/serving/ruddersaddle_serving/entry_hosts.py
+++ b/libs/serving/ruddersaddle_serving/entry_hosts.py
@@ -46,7 +46,7 @@
 from ruddersaddle_serving.replaced_parts import ReplacedParts
 from ruddersaddle_serving.request_ends import cut_fields
 from ruddersaddle_serving.self_reports import SelfReport
-from ruddersaddle_serving.silent_peers import watch_callers
+from ruddersaddle_serving.socket_liveness import set_listener_options
 from ruddersaddle_serving.standstills import Standstills
 from ruddersaddle_serving.store_followers import (
     CRASH_WAIT_S,
@@ -116,7 +116,7 @@
         self.link = StoreLink()
         self.publications = Publications()
         self.upstreams = UpstreamList()
-        store.eras.return_listeners.append(self.upstreams.note_copy)
+        store.eras.restore_listeners.append(self.upstreams.ignore_gone_instances)
         self.entries = UpstreamFollower(store, self.link, self.upstreams)
         self.trackers = Trackers()
         self.hosts = self._make_hosts(settings)
@@ -269,7 +269,7 @@
     def _listen(self, name: str, app: Any, protocol: type) -> ServedPort:
         host, _, port = self.settings.text(name).rpartition(":")
         listener = eventlet.listen((host, int(port)), backlog=BACKLOG, reuse_port=False)
-        watch_callers(listener)
+        set_listener_options(listener)
         pool = CallerPool(find_room())
         listener = LastingListener(listener, pool)
         server = eventlet.spawn(
@@ -336,7 +336,7 @@
             ("configuration_version", "version in force", self.publications.version),
             ("configuration_age_seconds", "age of its confirmation", self.publications.age_s),
             ("store_era", "era of the store", self.store.eras.newest),
-            ("store_returns", "its returns from a copy", self.store.eras.returns),
+            ("store_returns", "its returns from a copy", self.store.eras.restores),
             ("configuration_awaited", "versions that the store lost", self._awaited_count()),
             ("upstreams", "entries of upstreams", len(self.upstreams.by_id)),
             ("upstreams_cold", "upstreams that bear few requests yet", self.shares.count_cold()),
@@ -417,7 +417,7 @@
         """Serve on until the balancer has noticed, then until no request is under way."""
         fields = {"active": self.front.active, **self.signals.fields()}
         logger.info("Planned stop begins.", extra=fields)
-        eventlet.spawn(self.neighbours.list.leave)
+        eventlet.spawn(self.neighbours.host_list.leave)
         self._sleep_until(self.signals.first_at + ACCEPT_AFTER_STOP_S)
         # One round of the loop takes what arrived while the process got no processor.
         eventlet.sleep(0)
