--- a/libs/serving/ruddersaddle_serving/neighbour_messages.py
+++ b/libs/serving/ruddersaddle_serving/neighbour_messages.py
@@ -13,11 +13,11 @@
 from ruddersaddle_serving.ports import TOPIC_START, ModelVersion, StorePosition
 from ruddersaddle_serving.publications import NamingAge
 from ruddersaddle_serving.routes import Published
-from ruddersaddle_serving.store_eras import UNTOLD
-from ruddersaddle_serving.upstream_entries import UpstreamEntry, UpstreamStart
+from ruddersaddle_serving.store_eras import ERA_UNKNOWN
+from ruddersaddle_serving.upstream_entries import UpstreamEntry, UpstreamInstance
 
 
-class AskNews(msgspec.Struct, frozen=True, tag="ask_news"):
+class StateRequest(msgspec.Struct, frozen=True, tag="ask_news"):
     """Asks for what the peer believes and the asker may not have yet."""
 
     host: HostId
@@ -29,13 +29,13 @@
     """Digest of the list of hosts that the asker knows."""
     crashes_revision: int = -1
     """Revision of the peer's own crash records that the asker has."""
-    era: int = UNTOLD
+    era: int = ERA_UNKNOWN
     """Newest era of the store that the asker knows."""
     hosts_position: StorePosition = TOPIC_START
     """Position of the list of hosts that the asker knows."""
 
 
-class News(msgspec.Struct, frozen=True, tag="news"):
+class StateUpdate(msgspec.Struct, frozen=True, tag="news"):
     """What a peer believes, with the age of each belief when it answered, in seconds."""
 
     age_s: float
@@ -56,11 +56,11 @@
     """Requests of which a run ended whole a short while ago; told with `crashes`."""
     crashes_revision: int = -1
     crashes_age_s: float = float("inf")
-    era: int = UNTOLD
+    era: int = ERA_UNKNOWN
     """Era of the store that `end` belongs to."""
-    known_era: int = UNTOLD
+    known_era: int = ERA_UNKNOWN
     """Newest era of the store that the teller knows."""
-    gone: tuple[UpstreamStart, ...] = ()
+    gone: tuple[UpstreamInstance, ...] = ()
     """Starts of upstreams that have left; told with `entries`."""
     lapsing: tuple[UpstreamId, ...] = ()
     """Upstreams among `entries` that are gone from the store and kept for their grace."""
@@ -70,7 +70,7 @@
     """Position of the list that `hosts` is."""
     cold: tuple[ColdStart, ...] = ()
     """Starts of upstreams that are cold."""
-    leaving: tuple[UpstreamStart, ...] = ()
+    leaving: tuple[UpstreamInstance, ...] = ()
     """Starts that said in an answer that they leave, whatever their entries say."""
 
 
@@ -95,19 +95,19 @@
     version: int
 
 
-class Hello(msgspec.Struct, frozen=True, tag="hello"):
+class Ping(msgspec.Struct, frozen=True, tag="hello"):
     """Asks for any answer, so that a connection that is silent for good is found."""
 
 
-class Noted(msgspec.Struct, frozen=True, tag="noted"):
+class Ack(msgspec.Struct, frozen=True, tag="noted"):
     """Answers a message that asks nothing."""
 
 
 NeighbourMessage = (
-    AskNews
-    | News
+    StateRequest
+    | StateUpdate
     | Changed
-    | Hello
+    | Ping
     | Loading
     | Loaded
     | Notices
@@ -116,5 +116,5 @@
     | PartsNews
     | StoreLost
     | CrashNews
-    | Noted
+    | Ack
 )
--- a/libs/serving/ruddersaddle_serving/part_relays.py
+++ b/libs/serving/ruddersaddle_serving/part_relays.py
@@ -6,7 +6,7 @@
 from ruddersaddle_base import clocks
 
 from ruddersaddle_serving.kept_parts import SPARE_WATCHERS, KeptParts
-from ruddersaddle_serving.neighbours import ASK_S, Neighbours
+from ruddersaddle_serving.neighbours import ASK_TIMEOUT_S, Neighbours
 from ruddersaddle_serving.part_news import AskParts, PartsNews, Position, take_store
 from ruddersaddle_serving.routes import ContextStore
 from ruddersaddle_serving.tasks import spawn_forever
@@ -32,10 +32,10 @@
     def start(self) -> None:
         """Start the task."""
         self.kept.watches = self.watches
-        self.kept.tell_lost = self.neighbours.tell_store_lost
+        self.kept.tell_lost = self.neighbours.broadcast_store_lost
         # Waiting for the next look instead, hosts that had all been lost fetched nothing for their
         # first second, and read 140,000 of 300,000 tokens of a day again in it.
-        self.neighbours.list.listeners.append(self.kept.start_followers)
+        self.neighbours.host_list.listeners.append(self.kept.start_followers)
         spawn_forever("parts", self._run)
 
     def watches(self, spec: ContextStore) -> bool:
@@ -71,10 +71,10 @@
             Position(spec.id, self._revision_by_source.get((reader, spec.id), -1)) for spec in specs
         )
         asked_at = clocks.now_s()
-        answer = self.neighbours.peers.ask(reader, AskParts(positions), ASK_S)
+        answer = self.neighbours.peers.ask(reader, AskParts(positions), ASK_TIMEOUT_S)
         if not isinstance(answer, PartsNews):
             logger.info("Reader %s tells nothing of context stores.", reader)
-            self.neighbours.hosts.note_silent(reader)
+            self.neighbours.hosts.record_unresponsive(reader)
             return
         self._revision_by_source = {
             key: revision for key, revision in self._revision_by_source.items() if key[0] == reader
--- a/libs/serving/ruddersaddle_serving/upstream_connections.py
+++ b/libs/serving/ruddersaddle_serving/upstream_connections.py
@@ -17,7 +17,7 @@
 
 from ruddersaddle_serving.ports import AnswerHead, Wire
 from ruddersaddle_serving.reset_sockets import UpstreamConnection
-from ruddersaddle_serving.silent_peers import LIVENESS_OPTIONS, UNACKNOWLEDGED_MS
+from ruddersaddle_serving.socket_liveness import LIVENESS_OPTIONS, UNACKNOWLEDGED_MS
 
 CONNECT_TIMEOUT_S = 0.35
 """Upstreams accept a connection within a few milliseconds; the timeout is much longer so that a
