--- a/libs/serving/ruddersaddle_serving/cached_parts.py
+++ b/libs/serving/ruddersaddle_serving/cached_parts.py
@@ -136,10 +136,10 @@
         if isinstance(listing, Failure):
             store.forget()
             return listing
-        store.reset(listing.epoch, listing.next, bool(listing.whole))
-        for part in listing.whole:
+        store.reset(listing.epoch, listing.next, bool(listing.complete))
+        for part in listing.complete:
             store.apply(part)
-        store.record_broken(listing.broken)
+        store.record_broken(listing.incomplete)
         return None
 
     def find_holders(self, salt: str, prompt: Prompt) -> list[StoreView | None]:
--- a/libs/serving/ruddersaddle_serving/cold_starts.py
+++ b/libs/serving/ruddersaddle_serving/cold_starts.py
@@ -9,13 +9,13 @@
 import msgspec
 from ruddersaddle_base import clocks
 
-from ruddersaddle_serving.upstream_entries import Heartbeat, UpstreamStart
+from ruddersaddle_serving.upstream_entries import Heartbeat, UpstreamInstance
 
 
 class ColdStart(msgspec.Struct, frozen=True, array_like=True):
     """Says that an instance of an upstream is cold."""
 
-    instance: UpstreamStart
+    instance: UpstreamInstance
     heartbeat: Heartbeat
     """The write of the entry that reported it, with the seconds left now."""
 
@@ -31,9 +31,9 @@
     """Until when each instance of an upstream is cold."""
 
     def __init__(self) -> None:
-        self._reported_by_instance: dict[UpstreamStart, _Reported] = {}
+        self._reported_by_instance: dict[UpstreamInstance, _Reported] = {}
 
-    def apply(self, instance: UpstreamStart, heartbeat: Heartbeat) -> None:
+    def apply(self, instance: UpstreamInstance, heartbeat: Heartbeat) -> None:
         """Apply a write of an entry, with its remaining time counted from now.
 
         The write was made earlier, so this overestimates the time. A lower sequence number than the
@@ -53,7 +53,7 @@
         for each in cold:
             self.apply(each.instance, each.heartbeat)
 
-    def until(self, instance: UpstreamStart) -> float:
+    def until(self, instance: UpstreamInstance) -> float:
         """Return until when an instance is cold, on the steady clock.
 
         The result is minus infinity if it was never reported as cold.
@@ -70,7 +70,7 @@
             if reported.until > now
         )
 
-    def keep_only(self, instances: Collection[UpstreamStart]) -> None:
+    def keep_only(self, instances: Collection[UpstreamInstance]) -> None:
         """Forget all other instances."""
         for gone in self._reported_by_instance.keys() - set(instances):
             del self._reported_by_instance[gone]
--- a/libs/serving/ruddersaddle_serving/part_relays.py
+++ b/libs/serving/ruddersaddle_serving/part_relays.py
@@ -6,7 +6,7 @@
 from ruddersaddle_base import clocks
 
 from ruddersaddle_serving.cached_parts import RESERVED_WATCHERS, CachedParts
-from ruddersaddle_serving.neighbours import ASK_S, Neighbours
+from ruddersaddle_serving.neighbours import ASK_TIMEOUT_S, Neighbours
 from ruddersaddle_serving.part_updates import (
     KnownRevision,
     PartsRequest,
@@ -37,10 +37,10 @@
     def start(self) -> None:
         """Start the task."""
         self.cached_parts.polls_directly = self.polls_directly
-        self.cached_parts.broadcast_lost = self.neighbours.tell_store_lost
+        self.cached_parts.broadcast_lost = self.neighbours.broadcast_store_lost
         # Without this listener, hosts would fetch nothing until the next check, a second after a
         # restart of all hosts. That second caused 140,000 of a day's 300,000 recomputed tokens.
-        self.neighbours.list.listeners.append(self.cached_parts.start_followers)
+        self.neighbours.host_list.listeners.append(self.cached_parts.start_followers)
         spawn_forever("parts", self._run)
 
     def polls_directly(self, spec: ContextStore) -> bool:
@@ -77,10 +77,10 @@
             for spec in specs
         )
         asked_at = clocks.now_s()
-        answer = self.neighbours.peers.ask(reader, PartsRequest(positions), ASK_S)
+        answer = self.neighbours.peers.ask(reader, PartsRequest(positions), ASK_TIMEOUT_S)
         if not isinstance(answer, PartsUpdate):
             logger.info("Reader %s sent no changes at context stores.", reader)
-            self.neighbours.hosts.note_silent(reader)
+            self.neighbours.hosts.record_unresponsive(reader)
             return
         self._revision_by_source = {
             key: revision for key, revision in self._revision_by_source.items() if key[0] == reader
--- a/libs/serving/ruddersaddle_serving/tests/test_load_shares.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_load_shares.py
@@ -11,7 +11,7 @@
 from ruddersaddle_serving.tests.engine_waits import wait_s
 from ruddersaddle_serving.tests.fixed_clocks import FixedClockTest
 from ruddersaddle_serving.trackers import Assignment, Notice, Progress, Reach, Trackers
-from ruddersaddle_serving.upstream_entries import UpstreamEntry, UpstreamStart
+from ruddersaddle_serving.upstream_entries import UpstreamEntry, UpstreamInstance
 from ruddersaddle_serving.upstream_lists import UpstreamList
 
 ENGINE = UpstreamId("e-1")
@@ -26,7 +26,7 @@
         self.by_address: dict[str, LoadShares] = {}
         self.sent = 0
 
-    def tell_all(self, addresses: list[str], message: Notices | LoadSums) -> None:
+    def broadcast(self, addresses: list[str], message: Notices | LoadSums) -> None:
         for address in addresses:
             self.sent += 1
             shares = self.by_address[address]
@@ -163,7 +163,7 @@
             teller = next(each for each in fleet if not each.is_summing)
             teller.tell(Notice(ENGINE, 1, Progress.REPORTED, leave=LeaveNotice(RequestId("q"))))
             self.settle(fleet)
-            known = [each for each in fleet if each.upstreams.is_leaving(UpstreamStart(ENGINE))]
+            known = [each for each in fleet if each.upstreams.is_leaving(UpstreamInstance(ENGINE))]
             with self.subTest(hosts=len(fleet)):
                 self.assertEqual(len(known), knowing)
 
--- a/libs/serving/ruddersaddle_serving/tests/test_upstream_quotas.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_upstream_quotas.py
@@ -83,7 +83,7 @@
             hosts = Hosts(HostId(host), HostRecord(f"{host}:1", HALL), [])
             hosts.replace(records(known))
             publications = Publications()
-            publications.take(PublishedConfiguration(1, pools=(Pool(POOL, None, COLD_S, per_s),)))
+            publications.apply(PublishedConfiguration(1, pools=(Pool(POOL, None, COLD_S, per_s),)))
             upstreams = UpstreamList()
             upstreams.put(self.upstream)
             self.quotas.append(UpstreamQuotas(hosts, publications, upstreams))
@@ -91,7 +91,7 @@
 
     def turn_cold(self, cold_s: float = COLD_S) -> None:
         for each in self.quotas:
-            each.upstreams.cold.apply(self.upstream.start, Heartbeat(2, cold_s))
+            each.upstreams.cold.apply(self.upstream.instance, Heartbeat(2, cold_s))
 
     def send(self) -> int:
         """Let each host send as many requests as it may; return their number."""
--- a/libs/serving/ruddersaddle_serving/upstream_quotas.py
+++ b/libs/serving/ruddersaddle_serving/upstream_quotas.py
@@ -19,7 +19,7 @@
 from ruddersaddle_serving.publications import Publications
 from ruddersaddle_serving.routes import Pool
 from ruddersaddle_serving.trackers import Tracker
-from ruddersaddle_serving.upstream_entries import UpstreamStart
+from ruddersaddle_serving.upstream_entries import UpstreamInstance
 from ruddersaddle_serving.upstream_lists import UpstreamList
 
 WINDOW_S = 1.05
@@ -65,7 +65,7 @@
         """Number of requests that this host sent to cold upstreams."""
         self.limited_sent = 0
         """Number of requests that this host sent to upstreams that state a limit."""
-        self._ranked_by_instance: dict[UpstreamStart, list[str]] = {}
+        self._ranked_by_instance: dict[UpstreamInstance, list[str]] = {}
         self._ranked_digest = 0
         """Digest of the host list that the cached ranks were computed from."""
 
@@ -82,7 +82,7 @@
             tracker.silence.ended_at,
             self.publications.evacuations.ended_at(tracker.entry.hall),
         )
-        reported_until = self.upstreams.cold.until(tracker.entry.start)
+        reported_until = self.upstreams.cold.until(tracker.entry.instance)
         return max(reported_until, resumed_at + pool.cold_start_s)
 
     def is_cold(self, tracker: Tracker) -> bool:
@@ -122,14 +122,14 @@
     def _own_quota(self, tracker: Tracker, per_s: float) -> Quota:
         if clocks.now_s() < self.hosts.known_at + JOIN_GRACE_S:
             return NO_QUOTA
-        return compute_quota(per_s, self._rank(tracker.entry.start), self.hosts.own_id)
+        return compute_quota(per_s, self._rank(tracker.entry.instance), self.hosts.own_id)
 
-    def _rank(self, instance: UpstreamStart) -> list[str]:
+    def _rank(self, instance: UpstreamInstance) -> list[str]:
         if self._ranked_digest != self.hosts.digest:
             self._ranked_digest = self.hosts.digest
             self._ranked_by_instance.clear()
         if instance not in self._ranked_by_instance:
-            known = set(self.upstreams.starts())
+            known = set(self.upstreams.instances())
             self._ranked_by_instance = {
                 each: ranked for each, ranked in self._ranked_by_instance.items() if each in known
             }
