--- a/libs/serving/ruddersaddle_serving/cached_parts.py
+++ b/libs/serving/ruddersaddle_serving/cached_parts.py
@@ -139,7 +139,7 @@
         store.reset(listing.epoch, listing.next, bool(listing.complete))
         for part in listing.complete:
             store.apply(part)
-        store.record_broken(listing.incomplete)
+        store.record_incomplete(listing.incomplete)
         return None
 
     def find_holders(self, salt: str, prompt: Prompt) -> list[StoreView | None]:
--- a/libs/serving/ruddersaddle_serving/context_stores.py
+++ b/libs/serving/ruddersaddle_serving/context_stores.py
@@ -120,7 +120,7 @@
         self.revision += 1
         self._recent.append((self.revision, change))
 
-    def record_broken(self, parts: Iterable[StoreChange]) -> None:
+    def record_incomplete(self, parts: Iterable[StoreChange]) -> None:
         """Account for incompletely saved parts: they occupy memory and can't be fetched."""
         self.used_tokens += sum(_round_up(part.tokens) for part in parts)
 
