--- a/libs/serving/ruddersaddle_serving/entry_hosts.py
+++ b/libs/serving/ruddersaddle_serving/entry_hosts.py
@@ -120,10 +120,10 @@
         self.entries = UpstreamFollower(store, self.link, self.upstreams)
         self.trackers = Trackers()
         self.hosts = self._make_hosts(settings)
-        self.shares = UpstreamQuotas(self.hosts, self.publications, self.upstreams)
-        self.kept = CachedParts(engines)
+        self.quotas = UpstreamQuotas(self.hosts, self.publications, self.upstreams)
+        self.cached_parts = CachedParts(engines)
         self.budget = RetryBudget(settings.number("bounds.retry_share") * BUDGET_SHARE)
-        self.publications.listeners += [self.trackers.take_table, self.kept.apply_table]
+        self.publications.listeners += [self.trackers.take_table, self.cached_parts.apply_table]
         self.crash_records = CrashRecords()
         self.crashes = CrashWatch(
             engines,
@@ -186,8 +186,8 @@
             self.publications,
             self.upstreams,
             self.trackers,
-            self.kept,
-            self.shares,
+            self.cached_parts,
+            self.quotas,
         )
         self.forwarder = Forwarder(
             placement,
@@ -208,12 +208,12 @@
             self.publications,
             self.upstreams,
             self.trackers,
-            self.kept,
+            self.cached_parts,
             self.crash_records,
         )
         self.forwarder.placement.belief_lag_s = lambda: self.neighbours.loads.lag_s
         self.probes = Probes(self.neighbours.hosts, self.trackers, self.engines, self._tell_notice)
-        self.parts = PartRelay(self.kept, self.neighbours)
+        self.parts = PartRelay(self.cached_parts, self.neighbours)
         lease_s = settings.number("bounds.lease_ms") / MS_PER_S
         lease = FenceLease(self.store, self.incarnation, lease_s)
         self.rollouts = WeightRollouts(
@@ -226,7 +226,7 @@
             self.engines,
         )
         self.replaced = ReplacedParts(
-            self.publications, self.upstreams, self.trackers, self.neighbours, self.kept
+            self.publications, self.upstreams, self.trackers, self.neighbours, self.cached_parts
         )
 
     def _take_report(self, upstream: UpstreamId, report: SelfReport) -> None:
@@ -295,7 +295,7 @@
         self.neighbours.start()
         self.probes.start()
         self.parts.start()
-        self.kept.start()
+        self.cached_parts.start()
         self.rollouts.start()
         self.replaced.start()
         spawn_forever("housekeeping", self._keep_house)
@@ -339,12 +339,12 @@
             ("store_returns", "its returns from a copy", self.store.eras.restores),
             ("configuration_awaited", "versions that the store lost", self._awaited_count()),
             ("upstreams", "entries of upstreams", len(self.upstreams.by_id)),
-            ("upstreams_cold", "upstreams that bear few requests yet", self.shares.count_cold()),
+            ("upstreams_cold", "upstreams that bear few requests yet", self.quotas.count_cold()),
             ("upstreams_limited", "upstreams that name a limit", self._limited_count()),
             ("upstreams_leaving", "upstreams that take no new work", self._leaving_count()),
             ("upstreams_resting", "upstreams that want nothing now", self._resting_count()),
-            ("upstream_cold_sends", "requests sent to cold upstreams", self.shares.cold_sent),
-            ("upstream_limited_sends", "requests sent to limited ones", self.shares.limited_sent),
+            ("upstream_cold_sends", "requests sent to cold upstreams", self.quotas.cold_sent),
+            ("upstream_limited_sends", "requests sent to limited ones", self.quotas.limited_sent),
             ("halls_evacuated", "halls whose upstreams get nothing", self._evacuated_count()),
             ("upstream_entries_unusable", "entries read that name none", self.entries.unusable),
             ("upstream_connections_opened", "connections opened", opened),
@@ -370,7 +370,7 @@
         lines += format_counters("retries", "retries by outcome", budget)
         lines += format_counters("crashes", "broken runs and what followed", self.crashes.counts)
         lines += format_counters("store_calls", "calls to the store", self.store.calls_by_kind)
-        lines += format_counters("contexts", "kept context by action", self.kept.counts)
+        lines += format_counters("contexts", "kept context by action", self.cached_parts.counts)
         lines += format_counters("orders", "orders to engines", self.rollouts.counts)
         lines += format_histograms(self.histograms)
         return "\n".join(lines) + "\n"
--- a/libs/serving/ruddersaddle_serving/forwarders.py
+++ b/libs/serving/ruddersaddle_serving/forwarders.py
@@ -222,7 +222,7 @@
         tracker = self.attempt.choice.tracker
         upstream = tracker.id
         self._excluded.add(upstream)
-        self.forwarder.placement.shares.record_sent(tracker)
+        self.forwarder.placement.quotas.record_sent(tracker)
         head = self.attempt.open()
         if isinstance(head, Failure):
             refused = head.ran is Ran.NOT_RUN
--- a/libs/serving/ruddersaddle_serving/neighbours.py
+++ b/libs/serving/ruddersaddle_serving/neighbours.py
@@ -26,7 +26,7 @@
     StateRequest,
     StateUpdate,
 )
-from ruddersaddle_serving.part_updates import PartsRequest, StoreLost, make_parts_update
+from ruddersaddle_serving.part_updates import PartsRequest, StoreLost, reply_parts
 from ruddersaddle_serving.peers import Peers
 from ruddersaddle_serving.ports import (
     MetadataStore,
@@ -74,7 +74,7 @@
         publications: Publications,
         upstreams: UpstreamList,
         trackers: Trackers,
-        kept: CachedParts,
+        cached_parts: CachedParts,
         crashes: CrashRecords,
     ) -> None:
         self.hosts = hosts
@@ -83,7 +83,7 @@
         self.publications = publications
         self.upstreams = upstreams
         self.trackers = trackers
-        self.kept = kept
+        self.cached_parts = cached_parts
         self.peers = Peers(self.address, self._handle, NeighbourMessage)
         self.host_list = HostList(hosts, store)
         self.host_list.listeners.append(lambda: self.peers.keep_only(set(hosts.addresses())))
@@ -272,7 +272,7 @@
             case CrashNews():
                 self.crashes.take(message)
             case PartsRequest():
-                return make_parts_update(self.kept, message)
+                return reply_parts(self.cached_parts, message)
             case StoreLost():
                 self._handle_store_lost(message)
         return Ack()
@@ -339,9 +339,9 @@
             self.peers.broadcast(self.hosts.hall_addresses(), StoreLost(store))
 
     def _handle_store_lost(self, message: StoreLost) -> None:
-        kept = self.kept.by_id.get(message.store)
-        if kept is not None:
-            kept.record_lost()
+        store = self.cached_parts.by_id.get(message.store)
+        if store is not None:
+            store.record_lost()
 
     # Engines that are to load weights
 
--- a/libs/serving/ruddersaddle_serving/part_updates.py
+++ b/libs/serving/ruddersaddle_serving/part_updates.py
@@ -55,7 +55,7 @@
     store: StoreId
 
 
-def make_parts_update(cached_parts: CachedParts, request: PartsRequest) -> PartsUpdate:
+def reply_parts(cached_parts: CachedParts, request: PartsRequest) -> PartsUpdate:
     """Return the changes that the requesting host doesn't know yet."""
     updates: list[StoreUpdate] = []
     rows = 0
--- a/libs/serving/ruddersaddle_serving/placements.py
+++ b/libs/serving/ruddersaddle_serving/placements.py
@@ -84,16 +84,16 @@
         publications: Publications,
         upstreams: UpstreamList,
         trackers: Trackers,
-        kept: CachedParts,
-        shares: UpstreamQuotas,
+        cached_parts: CachedParts,
+        quotas: UpstreamQuotas,
     ) -> None:
         self.hall = hall
         self.version_bound_s = version_bound_s
         self.publications = publications
         self.upstreams = upstreams
         self.trackers = trackers
-        self.kept = kept
-        self.shares = shares
+        self.cached_parts = cached_parts
+        self.quotas = quotas
         self.belief_lag_s: Callable[[], float] = lambda: 0.0
         """How old what this host knows of others' requests is, in seconds."""
         self.admitted_sizes = SizesByRoute()
@@ -153,7 +153,7 @@
 
     def _is_open(self, tracker: Tracker) -> bool:
         """Return whether this host may send a request to an upstream now."""
-        return tracker.reported.backoff_s <= 0 and self.shares.may_send(tracker)
+        return tracker.reported.backoff_s <= 0 and self.quotas.may_send(tracker)
 
     def _refuse_closed(self, pool: PoolId, trackers: list[Tracker], left: list[Tracker]) -> Failure:
         """Refuse, since nothing may be sent to any of the upstreams that are `left`."""
@@ -188,7 +188,7 @@
             detail = f"hall {hall} was evacuated meanwhile"
         elif tracker.reported.backoff_s > 0:
             detail = "it asked for rest meanwhile"
-        elif not self.shares.may_send(tracker):
+        elif not self.quotas.may_send(tracker):
             detail = "it is cold or limited, and this host's share was sent meanwhile"
         else:
             return None
@@ -264,7 +264,7 @@
     def _choose_engine(
         self, request: CallerRequest, prompt: Prompt, candidates: Candidates, may_refuse: bool
     ) -> Choice | Failure:
-        weighing = Weighing(request, prompt, self.kept)
+        weighing = Weighing(request, prompt, self.cached_parts)
         margin_s = min(self.belief_lag_s(), ALIKE_SHARE * request.route.target_latency_s)
         best = weighing.weigh(candidates.first, margin_s)
         if self._excess_s(request, best) > 0:
@@ -275,7 +275,7 @@
             self.admitted_sizes.take(request.route.name, best.tokens)
         hall = best.tracker.entry.hall
         is_newest = not self.publications.replaced_at_least_s(prompt.model, best.version or 0)
-        transfer = self.kept.plan(
+        transfer = self.cached_parts.plan(
             best.salt,
             prompt,
             weighing.holders_by_salt[best.salt],
@@ -357,8 +357,8 @@
 
     Callers come back spread out, so that it isn't run over at once.
     """
-    rest_s = min((tracker.reported.backoff_s for tracker in trackers), default=0.0)
-    return rest_s + RETRY_SOON_S * random.random() if rest_s > 0 else 0.0
+    backoff_s = min((tracker.reported.backoff_s for tracker in trackers), default=0.0)
+    return backoff_s + RETRY_SOON_S * random.random() if backoff_s > 0 else 0.0
 
 
 def _may_fit(prompt: Prompt, tracker: Tracker) -> bool:
--- a/libs/serving/ruddersaddle_serving/tests/load_replays.py
+++ b/libs/serving/ruddersaddle_serving/tests/load_replays.py
@@ -184,10 +184,12 @@
             tracker.memory.capacity_tokens = replay.load.memory_tokens
             tracker.connections = ReplayConnections(self, engine.entry.id)
         publications = Publications()
-        kept = CachedParts(mock.Mock())
+        cached_parts = CachedParts(mock.Mock())
         hall = shares.hosts.own.hall
         cold = UpstreamQuotas(shares.hosts, publications, upstreams)
-        self.placement = Placement(hall, 12.0, publications, upstreams, trackers, kept, cold)
+        self.placement = Placement(
+            hall, 12.0, publications, upstreams, trackers, cached_parts, cold
+        )
         self.placement.belief_lag_s = lambda: shares.lag_s
         engines = mock.Mock()
         engines.presence.side_effect = lambda _, start: replay.presence(start.id)
@@ -271,7 +273,7 @@
         if engine.dark and is_new:
             self.replay.after(CONNECT_TIMEOUT_S, self._fail_to_connect)
             return
-        self.host.placement.shares.record_sent(choice.tracker)
+        self.host.placement.quotas.record_sent(choice.tracker)
         engine.take(self)
         number = self.number
         self.replay.after(PATIENCE_S, lambda: self._leave(number))
--- a/libs/serving/ruddersaddle_serving/tests/test_part_updates.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_part_updates.py
@@ -12,7 +12,7 @@
     PartsRequest,
     PartsUpdate,
     apply_store_update,
-    make_parts_update,
+    reply_parts,
 )
 from ruddersaddle_serving.ports import StoreChange
 from ruddersaddle_serving.prompts import PartId
@@ -40,9 +40,7 @@
         """Request an update and apply it; each direction takes `latency_s`."""
         asked_at = self.now
         self.now += latency_s
-        update = make_parts_update(
-            self.reader, PartsRequest((KnownRevision(SPEC.id, self.revision),))
-        )
+        update = reply_parts(self.reader, PartsRequest((KnownRevision(SPEC.id, self.revision),)))
         self.now += latency_s
         for each in update.stores:
             apply_store_update(self.relayed_view, each, asked_at)
@@ -82,7 +80,7 @@
 
     def test_update_requested_before_a_store_was_lost_does_not_restore_trust(self) -> None:
         asked_at = self.now
-        update = make_parts_update(self.reader, PartsRequest((KnownRevision(SPEC.id, -1),)))
+        update = reply_parts(self.reader, PartsRequest((KnownRevision(SPEC.id, -1),)))
         self.now += 0.01
         self.relayed_view.record_lost()
         apply_store_update(self.relayed_view, update.stores[0], asked_at)
--- a/libs/serving/ruddersaddle_serving/tests/test_placements.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_placements.py
@@ -58,7 +58,7 @@
         self.publications = Publications()
         self.upstreams = UpstreamList()
         self.trackers = Trackers()
-        kept = CachedParts(mock.Mock())
+        cached_parts = CachedParts(mock.Mock())
         self.hosts = Hosts(HostId("host"), HostRecord("10.0.0.9:1", HallId("h")), [])
         self.placement = Placement(
             HallId("h"),
@@ -66,7 +66,7 @@
             self.publications,
             self.upstreams,
             self.trackers,
-            kept,
+            cached_parts,
             UpstreamQuotas(self.hosts, self.publications, self.upstreams),
         )
         self.first, self.second = (self.add(name) for name in ("e-1", "e-2"))
@@ -274,14 +274,14 @@
         self.fill(self.second, CAPACITY)
         for _ in range(2):
             self.assertIs(self.choose().tracker, self.first)
-            self.placement.shares.record_sent(self.first)
+            self.placement.quotas.record_sent(self.first)
         self.assertIs(self.choose().tracker, self.second)
 
     def test_all_cold_and_no_share_left_is_refused_and_has_not_run(self) -> None:
         for tracker in (self.first, self.second):
             self.turn_cold(tracker)
             for _ in range(2):
-                self.placement.shares.record_sent(tracker)
+                self.placement.quotas.record_sent(tracker)
         refusal = self.choose()
         self.assertEqual((refusal.code, refusal.ran), (Code.NO_UPSTREAM, Ran.NOT_RUN))
         self.assertIn("2 cold", refusal.detail)
@@ -291,12 +291,12 @@
         self.fill(self.second, CAPACITY)
         self.first.reported.rate_limit.apply(LimitUpdate(1.0, False, RequestId("q")))
         self.assertIs(self.choose().tracker, self.first)
-        self.placement.shares.record_sent(self.first)
+        self.placement.quotas.record_sent(self.first)
         self.assertIs(self.choose().tracker, self.second)
         self.assertIn("limited", self.placement.check_open(self.first).detail)
         for tracker in (self.first, self.second):
             tracker.reported.rate_limit.apply(LimitUpdate(0.0, False, RequestId("q")))
-            self.placement.shares.record_sent(tracker)
+            self.placement.quotas.record_sent(tracker)
         self.assertEqual("2 upstreams, 2 at their limit", self.choose().detail)
 
     def test_engine_that_rests_is_left_out_and_all_resting_is_told_with_a_true_time(self) -> None:
@@ -328,7 +328,7 @@
         self.assertIsNone(self.placement.check_open(self.first))
         self.turn_cold(self.first)
         for _ in range(2):
-            self.placement.shares.record_sent(self.first)
+            self.placement.quotas.record_sent(self.first)
         self.assertEqual(self.placement.check_open(self.first).ran, Ran.NOT_RUN)
         self.evacuate("h")
         self.assertIn("evacuated", self.placement.check_open(self.second).detail)
--- a/libs/serving/ruddersaddle_serving/trackers.py
+++ b/libs/serving/ruddersaddle_serving/trackers.py
@@ -278,14 +278,14 @@
             start.id, 0, Progress.REPORTED, born_ms=start.born_ms, limit=limit, leave=leave
         )
 
-    def _take_rest(self, rest_s: float | Failure, request: RequestId | None) -> None:
-        if isinstance(rest_s, Failure):
-            self._warn_unreadable(rest_s, request)
-        elif self.reported.back_off(rest_s):
+    def _take_rest(self, backoff_s: float | Failure, request: RequestId | None) -> None:
+        if isinstance(backoff_s, Failure):
+            self._warn_unreadable(backoff_s, request)
+        elif self.reported.back_off(backoff_s):
             logger.info(
                 "Upstream %s wants nothing for %.1f s.",
                 self.entry.instance,
-                rest_s,
+                backoff_s,
                 extra={"request": request},
             )
 
--- a/libs/serving/ruddersaddle_serving/weighings.py
+++ b/libs/serving/ruddersaddle_serving/weighings.py
@@ -74,10 +74,10 @@
 class Weighing:
     """Estimates of one prompt; stores are looked through once for each salt."""
 
-    def __init__(self, request: CallerRequest, prompt: Prompt, kept: CachedParts) -> None:
+    def __init__(self, request: CallerRequest, prompt: Prompt, cached_parts: CachedParts) -> None:
         self.request = request
         self.prompt = prompt
-        self.kept = kept
+        self.cached_parts = cached_parts
         self.estimates: list[Estimate] = []
         self.holders_by_salt: dict[str, list[StoreView | None]] = {}
 
@@ -102,7 +102,7 @@
         priority = self.request.priority
         salt = self._salt(prompt.model, version)
         if salt not in self.holders_by_salt:
-            self.holders_by_salt[salt] = self.kept.find_holders(salt, prompt)
+            self.holders_by_salt[salt] = self.cached_parts.find_holders(salt, prompt)
         covered = tracker.memory.leading_tokens(salt, prompt.shared_parts)
         fetched, fetch_s = _add_fetched(
             prompt, covered, self.holders_by_salt[salt], tracker.entry.hall
