--- a/libs/serving/ruddersaddle_serving/context_stores.py
+++ b/libs/serving/ruddersaddle_serving/context_stores.py
@@ -17,10 +17,11 @@
 logger = logging.getLogger(__name__)
 
 LISTING_TRUST_S = 2.0
-"""A listing is trusted for this long after the last poll that confirmed it was sent. A poll waits
-up to `LONG_POLL_S` for changes; hosts that don't poll a store ask another host each half second."""
+"""How long a listing is trusted, counted from when the poll that last confirmed it was sent. A poll
+waits up to `LONG_POLL_S` for changes; hosts that don't poll a store ask another host each half
+second."""
 FETCH_TIMEOUT_S = 1.4
-"""The engine aborts a fetch that takes longer. Recomputing a prompt of 30,000 tokens takes 0.3 to
+"""The engine discards a fetch that takes longer. Recomputing a prompt of 30,000 tokens takes 0.3 to
 0.6 s."""
 RESTART_SAVE_PAUSE_S = 4.2
 """Nothing is saved to a store for this long after a new epoch of it was first seen: its earlier
@@ -59,7 +60,7 @@
         self.tokens_by_part: dict[tuple[str, PartId], int] = {}
         self.clock_offset_ms = 0.0
         self.knows_clock = False
-        self.is_unreachable = False
+        self.is_failing = False
         self.is_followed = False
         """Whether a task of this host polls the store for changes."""
         self.revision = random.getrandbits(REVISION_BITS)
@@ -76,20 +77,20 @@
         """Stop fetching from the store until it answers a request that is sent after this.
 
         An engine takes about 0.3 s to notice that a store is gone. If the listing stayed trusted,
-        every prompt that starts with a part of this store would be delayed so for up to
-        `LISTING_TRUST_S`.
+        one lost store of nineteen would delay every prompt that starts with a part of it so for up
+        to `LISTING_TRUST_S`.
         """
         self.lost_at = clocks.now_s()
 
     def record_answer(self, failure: Failure | None) -> None:
-        """Log when the store becomes unreachable or reachable again."""
-        if (failure is not None) == self.is_unreachable:
+        """Log when polls of the store start to fail or succeed again."""
+        if (failure is not None) == self.is_failing:
             return
-        self.is_unreachable = failure is not None
+        self.is_failing = failure is not None
         if failure is None:
-            logger.info("Store %s is reachable again.", self.spec.id)
+            logger.info("Store %s answers polls again.", self.spec.id)
         else:
-            logger.warning("Store %s is unreachable. %s", self.spec.id, failure.detail)
+            logger.warning("Store %s fails to answer polls. %s", self.spec.id, failure.detail)
 
     @property
     def accepts_saves(self) -> bool:
@@ -139,7 +140,7 @@
             StoreChange(salt, part, tokens) for (salt, part), tokens in self.tokens_by_part.items()
         )
 
-    def reset(self, epoch: int, next_number: int, has_parts: bool = False) -> None:
+    def reset(self, epoch: int, next_event: int, has_parts: bool = False) -> None:
         """Start a new listing; `has_parts` says that the store holds complete parts.
 
         A host that has just started saves to a store with parts at once, since the host that saved
@@ -151,7 +152,7 @@
             self.epoch_seen_at = float("-inf") if is_settled else clocks.now_s()
             logger.info("Store %s changed to epoch %s from %s.", self.spec.id, epoch, self.epoch)
         self.epoch = epoch
-        self.next_event = next_number
+        self.next_event = next_event
         self.forget()
 
     def forget(self) -> None:
