--- a/libs/serving/ruddersaddle_serving/tests/test_evacuations.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_evacuations.py
@@ -66,31 +66,31 @@
         )
         self.follower = OperatorFollower(store, StoreLink(), self.publications)
 
-    def take(self, end: StorePosition, whole: bool = False, **halls: bool) -> None:
+    def apply(self, end: StorePosition, is_complete: bool = False, **halls: bool) -> None:
         records = tuple(
             Record(hall, b"{}" if in_force else None, 0) for hall, in_force in halls.items()
         )
-        self.follower.apply(Page(records, end), whole, self.now)
+        self.follower.apply(Page(records, end), is_complete, self.now)
 
     def in_force(self) -> tuple[HallId, ...]:
         return self.publications.evacuations.in_force()
 
     def test_outdated_page_changes_nothing(self) -> None:
-        self.take(StorePosition(1, 5), h=True)
-        self.take(StorePosition(1, 4), h=False)
-        self.take(StorePosition(1, 4), whole=True)
+        self.apply(StorePosition(1, 5), h=True)
+        self.apply(StorePosition(1, 4), h=False)
+        self.apply(StorePosition(1, 4), is_complete=True)
         self.assertEqual(self.in_force(), (HALL,))
-        self.take(StorePosition(1, 6), h=False)
+        self.apply(StorePosition(1, 6), h=False)
         self.assertEqual(self.in_force(), ())
 
     def test_complete_page_after_a_compaction_ends_missing_evacuations(self) -> None:
-        self.take(StorePosition(1, 5), h=True)
-        self.take(StorePosition(1, 9), whole=True)
+        self.apply(StorePosition(1, 5), h=True)
+        self.apply(StorePosition(1, 9), is_complete=True)
         self.assertEqual(self.in_force(), ())
 
     def test_complete_page_of_a_later_era_ends_nothing_at_once(self) -> None:
-        self.take(StorePosition(1, 5), h=True)
-        self.take(StorePosition(2, 3), whole=True, g=True)
+        self.apply(StorePosition(1, 5), h=True)
+        self.apply(StorePosition(2, 3), is_complete=True, g=True)
         self.assertEqual(set(self.in_force()), {HALL, OTHER})
         self.now += RESTORE_GRACE_S
         self.assertEqual(self.in_force(), (OTHER,))
