--- a/libs/serving/ruddersaddle_serving/attempts.py
+++ b/libs/serving/ruddersaddle_serving/attempts.py
@@ -11,7 +11,7 @@
 from ruddersaddle_serving.placements import Choice
 from ruddersaddle_serving.ports import AnswerHead, Delivery, Wire
 from ruddersaddle_serving.prompts import CallerRequest
-from ruddersaddle_serving.trackers import Notice, Progress, Reach
+from ruddersaddle_serving.trackers import Notice, Progress, Reachability
 from ruddersaddle_serving.upstream_connections import Exchange
 
 logger = logging.getLogger(__name__)
@@ -48,7 +48,7 @@
         self._start = choice.tracker.entry.start
         choice.tracker.in_flight += 1
         self._finished = False
-        self._reach = Reach.NOTHING
+        self._reachability = Reachability.NO_RESPONSE
         # It counts from the choice: while a connection came about (1 to 3 ms), all requests of one
         # moment were sent to the engine that had looked idle to the first of them.
         self._tell(Progress.SENT, assignment=choice.assignment, expected_s=choice.first_s)
@@ -57,8 +57,8 @@
         """Get a connection; nothing is sent yet."""
         exchange = self.choice.tracker.connections.begin()
         if isinstance(exchange, Failure):
-            self.choice.tracker.note_no_connection()
-            self._reach = Reach.NO_CONNECTION
+            self.choice.tracker.record_connect_failure()
+            self._reachability = Reachability.NO_CONNECTION
             return exchange
         self.exchange = exchange
         return None
@@ -86,7 +86,9 @@
             return head
         if self._is_from_chosen(head):
             is_ordinary = head.has_receipt and head.request == self.request.id
-            notice = self.choice.tracker.hear(head.report, self.request.id, is_ordinary)
+            notice = self.choice.tracker.apply_self_report(
+                head.report, self.request.id, is_ordinary
+            )
             if notice is not None:
                 self.tell(notice)
         return self._check(head)
@@ -121,7 +123,7 @@
         tracker = self.choice.tracker
         prompt = self.request.head.prompt
         if head.version is not None and prompt is not None:
-            tracker.take_version(prompt.model, head.version)
+            tracker.record_version(prompt.model, head.version)
         if head.status == 421 and head.upstream not in (None, tracker.id):
             self._tell(Progress.REPLACED)
         code = Code.OTHER_VERSION if head.status == 421 else Code.OVERLOADED
@@ -147,7 +149,7 @@
 
     def note_first_event(self) -> None:
         """Take that the prompt was read."""
-        self._tell(Progress.FIRST)
+        self._tell(Progress.FIRST_EVENT)
 
     def _tell(self, progress: Progress, **more: Any) -> None:
         self.tell(
@@ -161,7 +163,7 @@
         self._finished = True
         self.choice.tracker.in_flight -= 1
         if self.exchange is not None and self.exchange.whole:
-            self._reach = Reach.ANSWERED
-        self._tell(Progress.ENDED, failed=failed, reach=self._reach)
+            self._reachability = Reachability.RESPONDED
+        self._tell(Progress.ENDED, failed=failed, reachability=self._reachability)
         if self.exchange is not None:
             self.exchange.finish()
--- a/libs/serving/ruddersaddle_serving/entry_hosts.py
+++ b/libs/serving/ruddersaddle_serving/entry_hosts.py
@@ -123,7 +123,7 @@
         self.shares = UpstreamShares(self.hosts, self.publications, self.upstreams)
         self.kept = KeptParts(engines)
         self.budget = RetryBudget(settings.number("bounds.retry_share") * BUDGET_SHARE)
-        self.publications.listeners += [self.trackers.take_table, self.kept.take_table]
+        self.publications.listeners += [self.trackers.apply_route_table, self.kept.take_table]
         self.crash_records = CrashRecords()
         self.crashes = CrashWatch(
             engines,
@@ -232,7 +232,9 @@
     def _take_report(self, upstream: UpstreamId, report: SelfReport) -> None:
         """Take what an upstream says of itself in its answer to a call of this host's own."""
         tracker = self.trackers.by_id.get(upstream)
-        notice = None if tracker is None else tracker.hear(report, None, is_ordinary=False)
+        notice = (
+            None if tracker is None else tracker.apply_self_report(report, None, is_ordinary=False)
+        )
         if notice is not None:
             self._tell_notice(notice)
 
@@ -396,7 +398,7 @@
         return sum(each.reported.rate_limit.is_named for each in self.trackers.by_id.values())
 
     def _silent_count(self) -> int:
-        return sum(each.is_silent for each in self.trackers.by_id.values())
+        return sum(each.is_unresponsive for each in self.trackers.by_id.values())
 
     # The planned stop
 
--- a/libs/serving/ruddersaddle_serving/load_shares.py
+++ b/libs/serving/ruddersaddle_serving/load_shares.py
@@ -114,7 +114,7 @@
 
     def tell(self, notice: Notice) -> None:
         """Take a step of an own request, and tell it with the next message."""
-        self._take_notice(self.hosts.own.address, notice)
+        self._apply_notice(self.hosts.own.address, notice)
         self._unsent.append(notice)
         if not self._is_scheduled:
             self._is_scheduled = True
@@ -131,15 +131,15 @@
         targets = self.hosts.addresses() if self.is_direct else [self.hosts.hall_reader()]
         self.peers.tell_all([each for each in targets if not self._is_own(each)], message)
 
-    def take_notices(self, message: Notices) -> None:
+    def apply_notices(self, message: Notices) -> None:
         """Take the steps of another host's requests."""
         for notice in message.notices:
-            self._take_notice(message.address, notice)
+            self._apply_notice(message.address, notice)
 
-    def _take_notice(self, host: str, notice: Notice) -> None:
+    def _apply_notice(self, host: str, notice: Notice) -> None:
         tracker = self.trackers.by_id.get(notice.upstream)
         if tracker is not None:
-            tracker.take_notice(host, notice)
+            tracker.apply_notice(host, notice)
         if notice.leave is not None:
             start = UpstreamStart(notice.upstream, notice.born_ms)
             self.upstreams.note_leaving(start, notice.leave.request, host)
@@ -184,11 +184,11 @@
             tracker = self.trackers.by_id.get(told.upstream)
             if tracker is not None and tracker.entry.born_ms == told.born_ms:
                 tracker.load.take_sum(source, told.load, message.is_total)
-                tracker.note_told_failing(told.failing_percent / 100)
+                tracker.apply_failure_rate(told.failing_percent / 100)
                 _take_silence(tracker.silence, source, told)
                 if told.is_replaced:
-                    tracker.note_replaced()
-                tracker.take_limit(told.limit, message.address, is_first_hand=False)
+                    tracker.record_replaced()
+                tracker.apply_limit(told.limit, message.address, is_first_hand=False)
                 if message.is_total:
                     tracker.load.run_s = told.run_ms / 1000
                     tracker.load.memory_run_s = told.memory_run_ms / 1000
@@ -203,7 +203,7 @@
         upstream=tracker.id,
         load=tracker.load.total_sum() if is_total else tracker.load.own_sum(),
         failing_percent=round(
-            100 * (tracker.failing_share if is_total else tracker.observed_failing)
+            100 * (tracker.failure_rate if is_total else tracker.observed_failure_rate)
         ),
         run_ms=round(1000 * tracker.load.run_s),
         memory_run_ms=round(1000 * tracker.load.memory_run_s),
--- a/libs/serving/ruddersaddle_serving/neighbours.py
+++ b/libs/serving/ruddersaddle_serving/neighbours.py
@@ -266,7 +266,7 @@
             case Changed():
                 self._note_changed(message)
             case Notices():
-                self.loads.take_notices(message)
+                self.loads.apply_notices(message)
             case LoadSums():
                 self.loads.take_sums(message)
             case CrashNews():
@@ -357,7 +357,7 @@
         self.news_at = clocks.now_s()
         tracker = self.trackers.by_id.get(message.upstream)
         if tracker is not None:
-            tracker.take_version(message.model, message.version)
+            tracker.record_version(message.model, message.version)
             tracker.avoided_until = 0.0
 
     def tell_all(self, message: Loading | Loaded) -> None:
--- a/libs/serving/ruddersaddle_serving/placements.py
+++ b/libs/serving/ruddersaddle_serving/placements.py
@@ -149,7 +149,7 @@
             return Failure(
                 Code.EVACUATED, Step.ADMIT, pool, detail, retry_after_s=RETRY_EVACUATED_S
             )
-        return [self.trackers.at(entry) for entry in served]
+        return [self.trackers.get_or_create(entry) for entry in served]
 
     def _is_open(self, tracker: Tracker) -> bool:
         """Return whether this host may send a request to an upstream now."""
@@ -177,7 +177,9 @@
 
     def rested_in_s(self, pool: PoolId) -> float:
         """Return in how many seconds the first upstream of a pool has rested; 0 if one is awake."""
-        return _rested_in_s([self.trackers.at(each) for each in self.upstreams.of_pool(pool)])
+        return _rested_in_s(
+            [self.trackers.get_or_create(each) for each in self.upstreams.of_pool(pool)]
+        )
 
     def check_open(self, tracker: Tracker) -> Failure | None:
         """Return why a request may no longer be sent to an upstream that was chosen before."""
@@ -195,7 +197,7 @@
         return Failure(Code.NO_UPSTREAM, Step.SEND, tracker.id, detail, retry_after_s=RETRY_SOON_S)
 
     def _choose_plain(self, request: CallerRequest, trackers: list[Tracker]) -> Choice:
-        usable = [tracker for tracker in trackers if tracker.is_sound] or trackers
+        usable = [tracker for tracker in trackers if tracker.is_healthy] or trackers
         chosen = min(usable, key=self._plain_order)
         first_s = request.route.target_latency_s
         return Choice(chosen, None, None, len(usable), first_s=first_s)
@@ -224,7 +226,7 @@
             self._is_open(tracker)
             and self._has_allowed_weights(prompt.model, tracker)
             and _may_fit(prompt, tracker)
-            and tracker.is_sound
+            and tracker.is_healthy
             and not tracker.is_avoided
         )
 
@@ -242,7 +244,7 @@
         roomy = [tracker for tracker in allowed if _may_fit(prompt, tracker)]
         if not roomy:
             return _refuse_size(prompt, allowed)
-        sound = [tracker for tracker in roomy if tracker.is_sound] or roomy
+        sound = [tracker for tracker in roomy if tracker.is_healthy] or roomy
         usable = [tracker for tracker in sound if not tracker.is_avoided] or sound
         return Candidates(usable[:CANDIDATES_MAX], iter(usable[CANDIDATES_MAX:]))
 
--- a/libs/serving/ruddersaddle_serving/probes.py
+++ b/libs/serving/ruddersaddle_serving/probes.py
@@ -64,7 +64,7 @@
     def due(self) -> list[Tracker]:
         """Return the upstreams to probe now."""
         trackers = self.trackers.by_id.values()
-        silent = [each for each in trackers if each.is_silent and not each.is_replaced]
+        silent = [each for each in trackers if each.is_unresponsive and not each.is_replaced]
         known = self._state_by_id
         self._state_by_id = {each: known[each] for each in known if each in self.trackers.by_id}
         return [each for each in silent if self._is_mine(each) and self._begin(each.id)]
@@ -112,7 +112,7 @@
     def _note_reached(self, tracker: Tracker) -> None:
         self._state_by_id.setdefault(tracker.id, ProbeState()).reached_at = clocks.now_s()
         logger.info("Upstream %s answers again.", tracker.id)
-        self._tell(tracker, Progress.REACHED)
+        self._tell(tracker, Progress.PROBE_ANSWERED)
 
     def _tell(self, tracker: Tracker, progress: Progress) -> None:
         start = tracker.entry.start
--- a/libs/serving/ruddersaddle_serving/replaced_parts.py
+++ b/libs/serving/ruddersaddle_serving/replaced_parts.py
@@ -86,7 +86,7 @@
         """Return the oldest weights that any engine may have; 0 while entries may be missing."""
         if not self.upstreams.is_certain:
             return 0
-        trackers = [self.trackers.at(entry) for entry in self.upstreams.by_id.values()]
+        trackers = [self.trackers.get_or_create(entry) for entry in self.upstreams.by_id.values()]
         versions = [
             each.version_by_model[model] for each in trackers if model in each.version_by_model
         ]
--- a/libs/serving/ruddersaddle_serving/tests/crash_replays.py
+++ b/libs/serving/ruddersaddle_serving/tests/crash_replays.py
@@ -21,7 +21,7 @@
     Visit,
 )
 from ruddersaddle_serving.tests.replay_loads import Load
-from ruddersaddle_serving.trackers import Progress, Reach
+from ruddersaddle_serving.trackers import Progress, Reachability
 from ruddersaddle_serving.upstream_entries import Heartbeat, UpstreamEntry
 from ruddersaddle_serving.upstream_shares import JOIN_S
 
@@ -108,7 +108,7 @@
         entry = msgspec.structs.replace(self.entry, heartbeat=Heartbeat(1, left_s))
         placement = host.placement
         placement.upstreams.put(entry)
-        tracker = placement.trackers.at(placement.upstreams.by_id[entry.id])
+        tracker = placement.trackers.get_or_create(placement.upstreams.by_id[entry.id])
         tracker.memory.capacity_tokens = self.replay.load.memory_tokens
         tracker.connections = ReplayConnections(host, entry.id)
 
@@ -129,7 +129,7 @@
 
     def take_crash(self) -> None:
         """Take that the engine has ended; before its first event the request may run again."""
-        self._tell(Progress.ENDED, reach=Reach.NOTHING, failed=True)
+        self._tell(Progress.ENDED, reachability=Reachability.NO_RESPONSE, failed=True)
         if self.ended:
             self.tally.broken += 1
             if self.began in self.tally.in_time_at:
--- a/libs/serving/ruddersaddle_serving/tests/load_replays.py
+++ b/libs/serving/ruddersaddle_serving/tests/load_replays.py
@@ -41,7 +41,7 @@
     draw_size,
 )
 from ruddersaddle_serving.tests.test_load_shares import FakePeers
-from ruddersaddle_serving.trackers import Notice, Progress, Reach, Trackers
+from ruddersaddle_serving.trackers import Notice, Progress, Reachability, Trackers
 from ruddersaddle_serving.upstream_connections import CONNECT_S, IDLE_S
 from ruddersaddle_serving.upstream_entries import UpstreamEntry
 from ruddersaddle_serving.upstream_lists import UpstreamList
@@ -180,7 +180,7 @@
         upstreams = UpstreamList()
         for engine in replay.engine_by_id.values():
             upstreams.put(engine.entry)
-            tracker = trackers.at(engine.entry)
+            tracker = trackers.get_or_create(engine.entry)
             tracker.memory.capacity_tokens = replay.load.memory_tokens
             tracker.connections = ReplayConnections(self, engine.entry.id)
         publications = Publications()
@@ -278,8 +278,8 @@
 
     def _fail_to_connect(self) -> None:
         self.host.connected_until.pop(self.upstream, None)
-        self.host.placement.trackers.by_id[self.upstream].note_no_connection()
-        self._tell(Progress.ENDED, reach=Reach.NO_CONNECTION)
+        self.host.placement.trackers.by_id[self.upstream].record_connect_failure()
+        self._tell(Progress.ENDED, reachability=Reachability.NO_CONNECTION)
         self.excluded.add(self.upstream)
         if len(self.excluded) < CONNECTS_MAX:
             self._choose()
@@ -291,7 +291,7 @@
             self.ended = True
             self.host.connected_until.pop(self.upstream, None)
             self._give_up("unserved")
-            self._tell(Progress.ENDED, reach=Reach.NOTHING)
+            self._tell(Progress.ENDED, reachability=Reachability.NO_RESPONSE)
 
     def _give_up(self, outcome: str) -> None:
         setattr(self.tally, outcome, getattr(self.tally, outcome) + 1)
@@ -301,7 +301,7 @@
         if self.ended or self.runs != run:
             return
         self.ended = True
-        self._tell(Progress.FIRST)
+        self._tell(Progress.FIRST_EVENT)
         first_s = clocks.now_s() - self.began
         self.tally.firsts.append(first_s)
         self.tally.served_sizes.append(self.kind.tokens)
@@ -322,7 +322,7 @@
             self.tally.broken += 1
 
     def take_end(self) -> None:
-        self._tell(Progress.ENDED, reach=Reach.ANSWERED, failed=False)
+        self._tell(Progress.ENDED, reachability=Reachability.RESPONDED, failed=False)
 
     def _tell(self, progress: Progress, **fields: object) -> None:
         self.host.shares.tell(Notice(self.upstream, self.number, progress, **fields))
--- a/libs/serving/ruddersaddle_serving/tests/test_attempts.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_attempts.py
@@ -28,7 +28,7 @@
         self.attempt = Attempt(request, choice, mock.Mock(), None, self.take)
 
     def take(self, notice: Notice) -> None:
-        self.tracker.take_notice("own", notice)
+        self.tracker.apply_notice("own", notice)
 
     def test_request_counts_before_its_connection_stands(self) -> None:
         """Found after engines came back: seven requests of one moment went to one of them."""
--- a/libs/serving/ruddersaddle_serving/tests/test_load_shares.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_load_shares.py
@@ -10,7 +10,7 @@
 from ruddersaddle_serving.self_reports import Leave, LimitNews
 from ruddersaddle_serving.tests.engine_waits import wait_s
 from ruddersaddle_serving.tests.fixed_clocks import FixedClockTest
-from ruddersaddle_serving.trackers import Assignment, Notice, Progress, Reach, Trackers
+from ruddersaddle_serving.trackers import Assignment, Notice, Progress, Reachability, Trackers
 from ruddersaddle_serving.upstream_entries import UpstreamEntry, UpstreamStart
 from ruddersaddle_serving.upstream_lists import UpstreamList
 
@@ -31,7 +31,7 @@
             self.sent += 1
             shares = self.by_address[address]
             if isinstance(message, Notices):
-                shares.take_notices(message)
+                shares.apply_notices(message)
             else:
                 shares.take_sums(message)
 
@@ -39,7 +39,7 @@
 def make_trackers() -> Trackers:
     trackers = Trackers()
     entry = UpstreamEntry(ENGINE, PoolId("p"), "10.1.0.1:80", HallId("a"), 8, False, {})
-    trackers.at(entry)
+    trackers.get_or_create(entry)
     return trackers
 
 
@@ -109,30 +109,30 @@
         for number in range(8):
             fleet[number].tell(Notice(ENGINE, number, Progress.ENDED, failed=True))
         self.settle(fleet)
-        sound = {shares.trackers.by_id[ENGINE].is_sound for shares in fleet}
+        sound = {shares.trackers.by_id[ENGINE].is_healthy for shares in fleet}
         self.assertEqual(sound, {False})
         for _ in range(8):
             self.now += 1.0
             self.settle(fleet)
-        sound = {shares.trackers.by_id[ENGINE].is_sound for shares in fleet}
+        sound = {shares.trackers.by_id[ENGINE].is_healthy for shares in fleet}
         self.assertEqual(sound, {True})
 
     def silent_count(self, fleet: list[LoadShares]) -> int:
-        return sum(shares.trackers.by_id[ENGINE].is_silent for shares in fleet)
+        return sum(shares.trackers.by_id[ENGINE].is_unresponsive for shares in fleet)
 
     def test_dark_engine_that_one_host_finds_is_left_by_all(self) -> None:
         """Each of 195 hosts found each of 16 dark engines with requests of callers."""
         _, fleet = make_fleet(3, 8)
         fleet[0].tell(Notice(ENGINE, 1, Progress.SENT, expected_s=0.1))
         self.now += 0.15
-        fleet[0].tell(Notice(ENGINE, 1, Progress.ENDED, reach=Reach.NO_CONNECTION))
+        fleet[0].tell(Notice(ENGINE, 1, Progress.ENDED, reachability=Reachability.NO_CONNECTION))
         self.settle(fleet)
         self.assertEqual(self.silent_count(fleet), 24)
         for _ in range(30):
             self.now += 0.1
             self.settle(fleet)
         self.assertEqual(self.silent_count(fleet), 24)
-        fleet[9].tell(Notice(ENGINE, 2, Progress.REACHED))
+        fleet[9].tell(Notice(ENGINE, 2, Progress.PROBE_ANSWERED))
         self.settle(fleet)
         self.assertEqual(self.silent_count(fleet), 0)
 
@@ -140,7 +140,7 @@
         _, fleet = make_fleet(3, 8)
         fleet[5].tell(Notice(ENGINE, 1, Progress.REPLACED))
         self.settle(fleet)
-        sound = {shares.trackers.by_id[ENGINE].is_sound for shares in fleet}
+        sound = {shares.trackers.by_id[ENGINE].is_healthy for shares in fleet}
         self.assertEqual(sound, {False})
 
     def test_limit_that_one_host_hears_of_holds_and_ends_on_all(self) -> None:
@@ -148,7 +148,7 @@
             _, fleet = make_fleet(halls, in_hall)
             for ended in (False, True):
                 news = LimitNews(2.1, ended, RequestId("q"))
-                fleet[4].tell(Notice(ENGINE, 1, Progress.REPORTED, limit=news))
+                fleet[4].tell(Notice(ENGINE, 1, Progress.SELF_REPORTED, limit=news))
                 self.settle(fleet)
                 named = {each.trackers.by_id[ENGINE].reported.rate_limit.is_named for each in fleet}
                 with self.subTest(halls=halls, ended=ended):
@@ -159,7 +159,7 @@
         for halls, in_hall, knowing in ((2, 3, 6), (1, 20, 2)):
             _, fleet = make_fleet(halls, in_hall)
             teller = next(each for each in fleet if not each.is_summing)
-            teller.tell(Notice(ENGINE, 1, Progress.REPORTED, leave=Leave(RequestId("q"))))
+            teller.tell(Notice(ENGINE, 1, Progress.SELF_REPORTED, leave=Leave(RequestId("q"))))
             self.settle(fleet)
             known = [each for each in fleet if each.upstreams.is_leaving(UpstreamStart(ENGINE))]
             with self.subTest(hosts=len(fleet)):
@@ -171,8 +171,10 @@
             fleet[0].tell(Notice(ENGINE, number, Progress.SENT, expected_s=0.1))
             fleet[20].tell(Notice(ENGINE, number, Progress.SENT, expected_s=0.1))
             self.now += 0.15
-            fleet[0].tell(Notice(ENGINE, number, Progress.ENDED, reach=Reach.NO_CONNECTION))
-            fleet[20].tell(Notice(ENGINE, number, Progress.FIRST))
+            fleet[0].tell(
+                Notice(ENGINE, number, Progress.ENDED, reachability=Reachability.NO_CONNECTION)
+            )
+            fleet[20].tell(Notice(ENGINE, number, Progress.FIRST_EVENT))
             self.settle(fleet)
             self.assertLessEqual(self.silent_count(fleet), 1)
 
--- a/libs/serving/ruddersaddle_serving/tests/test_placements.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_placements.py
@@ -69,7 +69,7 @@
             UpstreamId(name), POOL, "10.0.0.1:80", HallId("h"), 8, False, {MODEL: 1}
         )
         self.upstreams.put(entry)
-        tracker = self.trackers.at(entry)
+        tracker = self.trackers.get_or_create(entry)
         tracker.memory.capacity_tokens = CAPACITY
         return tracker
 
@@ -193,7 +193,7 @@
     def test_old_weights_are_left_before_their_bound(self) -> None:
         self.publications.confirm(self.now, StorePosition(0, 1))
         self.publications.take(ModelVersion(MODEL, 2))
-        self.first.take_version(MODEL, 2)
+        self.first.record_version(MODEL, 2)
         self.now += 9.0
         self.assertIsInstance(self.choose(), Choice)
         self.now += 1.0
@@ -206,7 +206,7 @@
         self.publications.take(ModelVersion(MODEL, 2))
         self.now += 4.0
         self.publications.take(ModelVersion(MODEL, 3))
-        self.first.take_version(MODEL, 2)
+        self.first.record_version(MODEL, 2)
         self.now += 6.0
         self.fill(self.first, CAPACITY)
         self.assertEqual((self.choose().tracker, self.choose().version), (self.first, 2))
@@ -220,7 +220,7 @@
         self.assertIsInstance(self.choose(), Choice)
 
     def test_engine_that_takes_no_connection_is_left_out(self) -> None:
-        self.first.note_no_connection()
+        self.first.record_connect_failure()
         self.assertIs(self.choose().tracker, self.second)
         self.now += 0.6
         self.fill(self.second, CAPACITY)
--- a/libs/serving/ruddersaddle_serving/tests/test_probes.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_probes.py
@@ -9,7 +9,7 @@
 from ruddersaddle_serving.ports import Presence
 from ruddersaddle_serving.probes import PAUSE_S, Probes
 from ruddersaddle_serving.tests.fixed_clocks import FixedClockTest
-from ruddersaddle_serving.trackers import Notice, Progress, Reach, Trackers
+from ruddersaddle_serving.trackers import Notice, Progress, Reachability, Trackers
 from ruddersaddle_serving.upstream_entries import UpstreamEntry
 
 ENGINE = UpstreamId("e-1")
@@ -33,16 +33,16 @@
         hosts.replace(records)
         trackers = Trackers()
         entry = UpstreamEntry(ENGINE, PoolId("p"), "10.1.0.1:80", HallId("hall-0"), 8, False, {})
-        tracker = trackers.at(entry)
+        tracker = trackers.get_or_create(entry)
         engines = mock.Mock()
         engines.presence.return_value = Presence.HERE
-        return Probes(hosts, trackers, engines, lambda notice: tracker.take_notice(own, notice))
+        return Probes(hosts, trackers, engines, lambda notice: tracker.apply_notice(own, notice))
 
     def fall_silent(self, probes: Probes) -> None:
         tracker = probes.trackers.by_id[ENGINE]
-        tracker.take_notice("x", Notice(ENGINE, 1, Progress.SENT, expected_s=0.1))
-        ended = Notice(ENGINE, 1, Progress.ENDED, reach=Reach.NO_CONNECTION)
-        tracker.take_notice("x", ended)
+        tracker.apply_notice("x", Notice(ENGINE, 1, Progress.SENT, expected_s=0.1))
+        ended = Notice(ENGINE, 1, Progress.ENDED, reachability=Reachability.NO_CONNECTION)
+        tracker.apply_notice("x", ended)
 
     def run_for(self, seconds: float) -> int:
         """Look ten times a second; return how many probes were made."""
@@ -69,10 +69,10 @@
         self.fall_silent(self.probes)
         self.probes.engines.presence.return_value = Presence.DOWN
         self.assertIn(self.run_for(4.0), range(8, round(4.0 / PAUSE_S) + 1))
-        self.assertFalse(self.tracker.is_sound)
+        self.assertFalse(self.tracker.is_healthy)
         self.probes.engines.presence.return_value = Presence.HERE
         self.run_for(2 * PAUSE_S)
-        self.assertTrue(self.tracker.is_sound)
+        self.assertTrue(self.tracker.is_healthy)
         self.assertEqual(self.run_for(4.0), 0)
 
     def test_address_that_another_upstream_has_taken_is_left_for_good(self) -> None:
@@ -80,14 +80,14 @@
         self.fall_silent(self.probes)
         self.probes.engines.presence.return_value = Presence.REPLACED
         self.assertEqual(self.run_for(4.0), 1)
-        self.assertFalse(self.tracker.is_sound)
+        self.assertFalse(self.tracker.is_healthy)
 
     def test_upstream_that_takes_connections_and_answers_nothing_is_probed_ever_less(self) -> None:
         counts = []
         for _ in range(4):
             began = self.probes.count
             for _ in range(40):
-                if not self.tracker.is_silent:
+                if not self.tracker.is_unresponsive:
                     self.now += 0.5
                     self.fall_silent(self.probes)
                 self.run_for(0.1)
--- a/libs/serving/ruddersaddle_serving/tests/test_replaced_parts.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_replaced_parts.py
@@ -50,7 +50,7 @@
         address = f"10.0.0.1:{name[-1]}"
         entry = UpstreamEntry(UpstreamId(name), PoolId("p"), address, HALL, 8, False, {MODEL: 1})
         self.upstreams.put(entry)
-        return self.trackers.at(entry)
+        return self.trackers.get_or_create(entry)
 
     def look_for(self, seconds: float) -> None:
         """Look each half second for some seconds; the store and the list are young all along."""
@@ -61,13 +61,13 @@
             self.replaced.look(MODEL)
 
     def test_parts_are_kept_as_long_as_an_engine_has_their_weights(self) -> None:
-        self.first.take_version(MODEL, 2)
+        self.first.record_version(MODEL, 2)
         self.look_for(60.0)
         self.engines.free.assert_not_called()
 
     def test_parts_are_freed_once_every_fetch_of_them_has_ended(self) -> None:
         for tracker in (self.first, self.second):
-            tracker.take_version(MODEL, 2)
+            tracker.record_version(MODEL, 2)
         self.look_for(FREE_AFTER_S)
         self.engines.free.assert_not_called()
         self.look_for(1.0)
@@ -78,7 +78,7 @@
     def test_nothing_is_freed_while_entries_may_be_missing(self) -> None:
         """An engine with the old weights may live whose entry lapsed in an outage."""
         self.upstreams.remove(self.second.id)
-        self.first.take_version(MODEL, 2)
+        self.first.record_version(MODEL, 2)
         self.look_for(1.0)
         for _ in range(40):
             self.upstreams.note_outage()
@@ -86,7 +86,7 @@
         self.engines.free.assert_not_called()
 
     def test_engine_that_comes_back_with_old_weights_begins_the_wait_anew(self) -> None:
-        self.first.take_version(MODEL, 2)
+        self.first.record_version(MODEL, 2)
         self.upstreams.remove(self.second.id)
         self.look_for(FREE_AFTER_S - 1.0)
         self.upstreams.put(self.second.entry)
--- a/libs/serving/ruddersaddle_serving/tests/test_trackers.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_trackers.py
@@ -29,16 +29,16 @@
 class MemoryTest(unittest.TestCase):
     def test_engine_that_has_just_come_has_its_memory_at_once(self) -> None:
         trackers = Trackers()
-        trackers.take_table(make_table(1000))
-        tracker = trackers.at(make_entry("e-1"))
-        tracker.take_notice("host", Notice(tracker.id, 1, Progress.SENT, ASSIGNMENT))
+        trackers.apply_route_table(make_table(1000))
+        tracker = trackers.get_or_create(make_entry("e-1"))
+        tracker.apply_notice("host", Notice(tracker.id, 1, Progress.SENT, ASSIGNMENT))
         self.assertEqual(tracker.memory.leading_tokens("m/1", PARTS), 100)
 
     def test_new_configuration_changes_the_memory_of_known_engines(self) -> None:
         trackers = Trackers()
-        tracker = trackers.at(make_entry("e-1"))
+        tracker = trackers.get_or_create(make_entry("e-1"))
         for tokens in (1000, 500):
-            trackers.take_table(make_table(tokens))
+            trackers.apply_route_table(make_table(tokens))
             self.assertEqual(tracker.memory.capacity_tokens, tokens)
 
 
@@ -46,20 +46,20 @@
     def setUp(self) -> None:
         super().setUp()
         self.trackers = Trackers()
-        self.old = self.trackers.at(make_entry("e-1"))
+        self.old = self.trackers.get_or_create(make_entry("e-1"))
 
     def test_upstream_at_the_address_of_a_new_one_has_ended(self) -> None:
         self.now += 5.0
-        new = self.trackers.at(make_entry("e-2"))
-        self.assertEqual((self.old.is_sound, new.is_sound), (False, True))
+        new = self.trackers.get_or_create(make_entry("e-2"))
+        self.assertEqual((self.old.is_healthy, new.is_healthy), (False, True))
 
     def test_of_two_in_the_first_list_either_may_be_the_newer(self) -> None:
-        new = self.trackers.at(make_entry("e-2"))
-        self.assertEqual((self.old.is_sound, new.is_sound), (True, True))
+        new = self.trackers.get_or_create(make_entry("e-2"))
+        self.assertEqual((self.old.is_healthy, new.is_healthy), (True, True))
 
     def test_refusal_that_another_host_got_counts(self) -> None:
-        self.old.take_notice("other", Notice(self.old.id, 1, Progress.REPLACED))
-        self.assertFalse(self.old.is_sound)
+        self.old.apply_notice("other", Notice(self.old.id, 1, Progress.REPLACED))
+        self.assertFalse(self.old.is_healthy)
 
 
 class StartsTest(FixedClockTest):
@@ -68,55 +68,59 @@
     def setUp(self) -> None:
         super().setUp()
         self.trackers = Trackers()
-        self.old = self.trackers.at(make_entry("e-1", 1000))
-        self.old.take_notice("host", Notice(self.old.id, 1, Progress.SENT, ASSIGNMENT))
-        self.old.take_version(ModelId("m"), 7)
+        self.old = self.trackers.get_or_create(make_entry("e-1", 1000))
+        self.old.apply_notice("host", Notice(self.old.id, 1, Progress.SENT, ASSIGNMENT))
+        self.old.record_version(ModelId("m"), 7)
         self.now += 5.0
-        self.new = self.trackers.at(make_entry("e-1", 2000))
+        self.new = self.trackers.get_or_create(make_entry("e-1", 2000))
 
     def test_next_start_begins_with_nothing_of_the_one_before(self) -> None:
         self.assertIs(self.trackers.by_id[self.old.id], self.new)
-        self.assertEqual((self.old.is_sound, self.new.is_sound), (False, True))
+        self.assertEqual((self.old.is_healthy, self.new.is_healthy), (False, True))
         self.assertEqual(self.new.version_by_model, {})
         self.assertEqual(self.new.load.tokens, 0)
 
     def test_late_word_of_the_end_of_the_one_before_leaves_it_sound(self) -> None:
-        self.new.take_notice("other", Notice(self.old.id, 2, Progress.REPLACED, born_ms=1000))
-        self.assertTrue(self.new.is_sound)
+        self.new.apply_notice("other", Notice(self.old.id, 2, Progress.REPLACED, born_ms=1000))
+        self.assertTrue(self.new.is_healthy)
 
     def test_word_of_its_own_end_counts(self) -> None:
-        self.new.take_notice("other", Notice(self.old.id, 2, Progress.REPLACED, born_ms=2000))
-        self.assertFalse(self.new.is_sound)
+        self.new.apply_notice("other", Notice(self.old.id, 2, Progress.REPLACED, born_ms=2000))
+        self.assertFalse(self.new.is_healthy)
 
 
 class LimitTest(FixedClockTest):
     def test_limit_outlasts_an_entry_that_goes_and_comes_back(self) -> None:
         trackers = Trackers()
         entry = make_entry("e-1", 1000)
-        trackers.at(entry).reported.rate_limit.take(LimitNews(2.1, False, RequestId("q")))
+        trackers.get_or_create(entry).reported.rate_limit.take(
+            LimitNews(2.1, False, RequestId("q"))
+        )
         trackers.keep_only(set())
-        self.assertEqual(trackers.at(entry).reported.rate_limit.bound_per_s(), 2.1)
+        self.assertEqual(trackers.get_or_create(entry).reported.rate_limit.bound_per_s(), 2.1)
 
     def test_limit_of_a_start_says_nothing_of_the_next_one(self) -> None:
         trackers = Trackers()
-        trackers.at(make_entry("e-1", 1000)).reported.rate_limit.take(
+        trackers.get_or_create(make_entry("e-1", 1000)).reported.rate_limit.take(
             LimitNews(2.1, False, RequestId("q"))
         )
-        self.assertIsNone(trackers.at(make_entry("e-1", 2000)).reported.rate_limit.bound_per_s())
+        self.assertIsNone(
+            trackers.get_or_create(make_entry("e-1", 2000)).reported.rate_limit.bound_per_s()
+        )
 
 
 class OutcomesTest(unittest.TestCase):
     def test_outcome_that_another_host_saw_counts(self) -> None:
-        tracker = Trackers().at(make_entry("e-1"))
+        tracker = Trackers().get_or_create(make_entry("e-1"))
         for number in range(5):
-            tracker.take_notice("other", Notice(tracker.id, number, Progress.ENDED, failed=True))
-        self.assertFalse(tracker.is_sound)
+            tracker.apply_notice("other", Notice(tracker.id, number, Progress.ENDED, failed=True))
+        self.assertFalse(tracker.is_healthy)
 
     def test_end_that_says_nothing_of_the_upstream_does_not_count(self) -> None:
-        tracker = Trackers().at(make_entry("e-1"))
+        tracker = Trackers().get_or_create(make_entry("e-1"))
         for number in range(5):
-            tracker.take_notice("other", Notice(tracker.id, number, Progress.ENDED))
-        self.assertTrue(tracker.is_sound)
+            tracker.apply_notice("other", Notice(tracker.id, number, Progress.ENDED))
+        self.assertTrue(tracker.is_healthy)
 
 
 if __name__ == "__main__":
--- a/libs/serving/ruddersaddle_serving/tests/test_upstream_shares.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_upstream_shares.py
@@ -77,7 +77,7 @@
             upstreams = UpstreamList()
             upstreams.put(self.upstream)
             self.shares.append(UpstreamShares(hosts, publications, upstreams))
-            self.trackers.append(Trackers().at(self.upstream))
+            self.trackers.append(Trackers().get_or_create(self.upstream))
 
     def turn_cold(self, cold_s: float = COLD_S) -> None:
         for each in self.shares:
@@ -170,7 +170,7 @@
         self.now += 0.1
         tracker.silence.note_sent(("host-0", 1), self.now, 0.2)
         self.now += 1.5
-        self.assertTrue(tracker.is_silent)
+        self.assertTrue(tracker.is_unresponsive)
         self.assertFalse(shares.is_cold(tracker))
         tracker.silence.note_heard(self.now)
         self.assertTrue(shares.is_cold(tracker))
--- a/libs/serving/ruddersaddle_serving/trackers.py
+++ b/libs/serving/ruddersaddle_serving/trackers.py
@@ -29,20 +29,20 @@
 
 OUTCOME_WEIGHT = 0.2
 """Weight of the newest outcome in the mean share of failures: about the last ten count."""
-FAILING_SHARE = 0.35
+FAILURE_RATE_MAX = 0.35
 """An upstream that fails more than this share is left out while others are there. Sound
 upstreams answer up to a seventh of a kind of request with an error of their own."""
-FORGET_S = 3.0
+FAILURE_HALF_LIFE_S = 3.0
 """A share of failures halves in this time without requests, so that an upstream is tried again."""
-OFF_AFTER_CONNECT_S = 0.5
+CONNECT_BACKOFF_S = 0.5
 """An upstream that took no connection is left out this long, then twice as long each time."""
-OFF_MAX_S = 4.0
+CONNECT_BACKOFF_MAX_S = 4.0
 SENDS_MAX = 1024
 """Moments of sends that are kept for each upstream; what a host may send to a cold one in a second
 is less."""
 REPORTED_MAX = 1000
 """Starts without an entry of which it is kept what they said of themselves."""
-SAME_LIST_S = 0.5
+SAME_LISTING_S = 0.5
 """Two upstreams at one address that became known within this time may stand in the first list that
 a host reads, which doesn't tell the older one."""
 
@@ -51,23 +51,23 @@
     """How far a request is at its upstream."""
 
     SENT = 0
-    FIRST = 1
+    FIRST_EVENT = 1
     """Its first event came, so its prompt was read."""
     ENDED = 2
-    REACHED = 3
+    PROBE_ANSWERED = 3
     """No request: the upstream answered a probe."""
     REPLACED = 4
     """No request: another upstream answers at its address."""
-    REPORTED = 5
+    SELF_REPORTED = 5
     """No step of the request: its answer said something of the upstream itself."""
 
 
-class Reach(Enum):
+class Reachability(Enum):
     """What was heard of an upstream until a request ended."""
 
-    ANSWERED = 0
+    RESPONDED = 0
     NO_CONNECTION = 1
-    NOTHING = 2
+    NO_RESPONSE = 2
     """It took the request, and nothing came, or its answer broke off."""
 
 
@@ -94,7 +94,7 @@
     assignment: Assignment | None = None
     failed: bool | None = None
     """How it ended; None where that says nothing about the upstream."""
-    reach: Reach = Reach.NOTHING
+    reachability: Reachability = Reachability.NO_RESPONSE
     """What was heard of the upstream until it ended."""
     expected_s: float = 0.0
     """Where it was sent: the time within which something should be heard."""
@@ -112,7 +112,7 @@
     def __init__(self) -> None:
         self._moments: deque[float] = deque(maxlen=SENDS_MAX)
 
-    def note(self, at: float) -> None:
+    def record(self, at: float) -> None:
         """Take that a request leaves."""
         self._moments.append(at)
 
@@ -141,12 +141,12 @@
         self.silence = Silence()
         self.sends = RecentSends()
         self.reported = reported or Reported()
-        self._failing = 0.0
-        self._noted_at = clocks.now_s()
-        self._told_failing = 0.0
-        self._told_at = float("-inf")
-        self._refusals = 0
-        self._off_until = 0.0
+        self._failure_rate = 0.0
+        self._outcome_at = clocks.now_s()
+        self._reported_failure_rate = 0.0
+        self._reported_at = float("-inf")
+        self._connect_failures = 0
+        self._connect_backoff_until = 0.0
         self.is_replaced = False
         """Whether another upstream answers at its address: this start of it has ended for good."""
         self.created_at = clocks.now_s()
@@ -157,27 +157,27 @@
         return self.entry.id
 
     @property
-    def failing_share(self) -> float:
+    def failure_rate(self) -> float:
         """About the share of recent requests that failed, here or as others told."""
-        told_s = clocks.now_s() - self._told_at
-        told = self._told_failing if told_s < TOLD_TRUST_S else 0.0
-        return max(self.observed_failing, told)
+        age_s = clocks.now_s() - self._reported_at
+        told = self._reported_failure_rate if age_s < TOLD_TRUST_S else 0.0
+        return max(self.observed_failure_rate, told)
 
     @property
-    def observed_failing(self) -> float:
+    def observed_failure_rate(self) -> float:
         """About the share of recent requests that failed, of those that this host hears of."""
-        idle_s = clocks.now_s() - self._noted_at
-        return self._failing * 0.5 ** (idle_s / FORGET_S)
+        idle_s = clocks.now_s() - self._outcome_at
+        return self._failure_rate * 0.5 ** (idle_s / FAILURE_HALF_LIFE_S)
 
     @property
-    def is_sound(self) -> bool:
+    def is_healthy(self) -> bool:
         """Whether requests to it are likely to be answered."""
-        if self.is_replaced or clocks.now_s() < self._off_until:
+        if self.is_replaced or clocks.now_s() < self._connect_backoff_until:
             return False
-        return not self.is_silent and self.failing_share < FAILING_SHARE
+        return not self.is_unresponsive and self.failure_rate < FAILURE_RATE_MAX
 
     @property
-    def is_silent(self) -> bool:
+    def is_unresponsive(self) -> bool:
         """Whether it was sent requests, and no host has heard of it since."""
         return self.silence.since(clocks.now_s()) is not None
 
@@ -186,20 +186,20 @@
         """Whether it is about to load weights, or loads them."""
         return clocks.now_s() < self.avoided_until
 
-    def note_outcome(self, failed: bool) -> None:
+    def record_outcome(self, failed: bool) -> None:
         """Count how a request ended."""
-        share = self.observed_failing
-        self._failing = share + OUTCOME_WEIGHT * (float(failed) - share)
-        self._noted_at = clocks.now_s()
+        share = self.observed_failure_rate
+        self._failure_rate = share + OUTCOME_WEIGHT * (float(failed) - share)
+        self._outcome_at = clocks.now_s()
         if not failed:
-            self._refusals = 0
+            self._connect_failures = 0
 
-    def note_told_failing(self, share: float) -> None:
+    def apply_failure_rate(self, share: float) -> None:
         """Take about the share of failures that another host observed."""
-        self._told_failing = share
-        self._told_at = clocks.now_s()
+        self._reported_failure_rate = share
+        self._reported_at = clocks.now_s()
 
-    def note_replaced(self) -> None:
+    def record_replaced(self) -> None:
         """Take that another upstream answers at this one's address.
 
         The entry stays for some seconds. What is sent is refused at once, so that it looks idle,
@@ -210,13 +210,13 @@
             logger.info("Upstream %s is gone; another one is at its address.", self.id)
         self.is_replaced = True
 
-    def note_no_connection(self) -> None:
+    def record_connect_failure(self) -> None:
         """Count a connection that did not come about."""
-        off_s = min(OFF_MAX_S, OFF_AFTER_CONNECT_S * 2**self._refusals)
-        self._refusals += 1
-        self._off_until = clocks.now_s() + off_s
+        off_s = min(CONNECT_BACKOFF_MAX_S, CONNECT_BACKOFF_S * 2**self._connect_failures)
+        self._connect_failures += 1
+        self._connect_backoff_until = clocks.now_s() + off_s
 
-    def take_notice(self, host: str, notice: Notice) -> None:
+    def apply_notice(self, host: str, notice: Notice) -> None:
         """Take how far a request of this host or another one is."""
         if (
             None not in (notice.born_ms, self.entry.born_ms)
@@ -231,20 +231,20 @@
                 self.silence.note_sent(number, now, notice.expected_s)
                 if notice.assignment is not None:
                     self._add_load(number, notice.assignment)
-            case Progress.FIRST:
+            case Progress.FIRST_EVENT:
                 self.silence.note_heard(now)
                 self.load.note_first(number)
             case Progress.ENDED:
-                self._note_reach(number, notice.reach, now)
+                self._record_reachability(number, notice.reachability, now)
                 self.load.end(number)
                 if notice.failed is not None:
-                    self.note_outcome(notice.failed)
-            case Progress.REACHED:
+                    self.record_outcome(notice.failed)
+            case Progress.PROBE_ANSWERED:
                 self.silence.note_heard(now)
             case Progress.REPLACED:
-                self.note_replaced()
-            case Progress.REPORTED:
-                self.take_limit(notice.limit, host, is_first_hand=True)
+                self.record_replaced()
+            case Progress.SELF_REPORTED:
+                self.apply_limit(notice.limit, host, is_first_hand=True)
 
     def _add_load(self, number: tuple[str, int], assignment: Assignment) -> None:
         self.memory.use(assignment.salt, assignment.parts)
@@ -259,14 +259,14 @@
             assignment.parts,
         )
 
-    def hear(
+    def apply_self_report(
         self, report: SelfReport, request: RequestId | None, is_ordinary: bool
     ) -> Notice | None:
         """Take what an answer to this host says of the upstream; return what all hosts should know.
 
         `request` is None where the answer is to a call of this host's own.
         """
-        self._take_rest(report.rest_s, request)
+        self._apply_backoff(report.rest_s, request)
         if isinstance(report.limit_per_s, Failure):
             self._warn_unreadable(report.limit_per_s, request)
         limit = self.reported.rate_limit.after(report, request, is_ordinary)
@@ -275,10 +275,10 @@
         start = self.entry.start
         leave = Leave(request) if report.leaving else None
         return Notice(
-            start.id, 0, Progress.REPORTED, born_ms=start.born_ms, limit=limit, leave=leave
+            start.id, 0, Progress.SELF_REPORTED, born_ms=start.born_ms, limit=limit, leave=leave
         )
 
-    def _take_rest(self, rest_s: float | Failure, request: RequestId | None) -> None:
+    def _apply_backoff(self, rest_s: float | Failure, request: RequestId | None) -> None:
         if isinstance(rest_s, Failure):
             self._warn_unreadable(rest_s, request)
         elif self.reported.rest(rest_s):
@@ -297,7 +297,7 @@
             extra={"request": request},
         )
 
-    def take_limit(self, news: LimitNews | None, teller: str, is_first_hand: bool) -> None:
+    def apply_limit(self, news: LimitNews | None, reporter: str, is_first_hand: bool) -> None:
         """Take what the upstream said of its limit, as a host tells, first hand or not."""
         if news is None:
             return
@@ -310,27 +310,29 @@
                 news.per_s,
                 extra={
                     "request": news.request,
-                    "told_by": teller,
+                    "told_by": reporter,
                     "told_age_ms": round(news.age_s * 1000),
                 },
             )
 
-    def _note_reach(self, number: tuple[str, int], reach: Reach, now: float) -> None:
-        match reach:
-            case Reach.ANSWERED:
+    def _record_reachability(
+        self, number: tuple[str, int], reachability: Reachability, now: float
+    ) -> None:
+        match reachability:
+            case Reachability.RESPONDED:
                 self.silence.note_heard(now)
-            case Reach.NO_CONNECTION:
+            case Reachability.NO_CONNECTION:
                 self.silence.note_unreached(number)
-            case Reach.NOTHING:
+            case Reachability.NO_RESPONSE:
                 self.silence.note_left(number, now)
 
-    def take_entry(self, entry: UpstreamEntry) -> None:
+    def apply_entry(self, entry: UpstreamEntry) -> None:
         """Take a newer entry; versions of weights never go back within one start."""
         self.entry = entry
         for model, version in entry.version_by_model.items():
-            self.take_version(model, version)
+            self.record_version(model, version)
 
-    def take_version(self, model: str, version: int) -> None:
+    def record_version(self, model: str, version: int) -> None:
         """Take that the upstream has these weights of a model now."""
         known = self.version_by_model.get(model, 0)
         if version > known:
@@ -343,11 +345,11 @@
 
     def __init__(self) -> None:
         self.by_id: dict[UpstreamId, Tracker] = {}
-        self._reported_by_start: dict[UpstreamStart, Reported] = {}
+        self._reported_by_instance: dict[UpstreamStart, Reported] = {}
         """What starts said whose entries were taken out, the latest last; entries come back."""
         self._memory_by_pool: dict[PoolId, int] = {}
 
-    def take_table(self, table: RouteTable) -> None:
+    def apply_route_table(self, table: RouteTable) -> None:
         """Take the size of engines' memory from a configuration."""
         self._memory_by_pool = {
             pool.id: pool.engine.cache_tokens
@@ -360,7 +362,7 @@
     def _memory_tokens(self, entry: UpstreamEntry) -> int:
         return self._memory_by_pool.get(entry.pool, 0)
 
-    def at(self, entry: UpstreamEntry) -> Tracker:
+    def get_or_create(self, entry: UpstreamEntry) -> Tracker:
         """Return the tracker of an entry."""
         tracker = self.by_id.get(entry.id)
         if tracker is None or entry.is_later_than(tracker.entry):
@@ -368,21 +370,21 @@
             # under way there keep the tracker that they began with.
             if tracker is not None:
                 tracker.connections.close()
-            reported = self._reported_by_start.pop(entry.start, None)
+            reported = self._reported_by_instance.pop(entry.start, None)
             tracker = Tracker(entry, self._memory_tokens(entry), reported)
             tracker.load.pace = self._usual_pace(entry.pool)
-            self._note_predecessors(tracker)
+            self._mark_predecessors_replaced(tracker)
             self.by_id[entry.id] = tracker
         elif tracker.entry is not entry:
-            tracker.take_entry(entry)
+            tracker.apply_entry(entry)
         return tracker
 
-    def _note_predecessors(self, tracker: Tracker) -> None:
+    def _mark_predecessors_replaced(self, tracker: Tracker) -> None:
         """Take that what was at the address of a new upstream has ended."""
         for each in self.by_id.values():
-            is_older = tracker.created_at - each.created_at > SAME_LIST_S
+            is_older = tracker.created_at - each.created_at > SAME_LISTING_S
             if is_older and each.entry.address == tracker.entry.address:
-                each.note_replaced()
+                each.record_replaced()
 
     def _usual_pace(self, pool: PoolId) -> Pace:
         """Return the middle pace of a pool's engines, with which a new one begins."""
@@ -401,9 +403,9 @@
     def _forget(self, tracker: Tracker) -> None:
         tracker.connections.close()
         if tracker.reported.is_bounding:
-            self._reported_by_start[tracker.entry.start] = tracker.reported
-        if len(self._reported_by_start) > REPORTED_MAX:
-            del self._reported_by_start[next(iter(self._reported_by_start))]
+            self._reported_by_instance[tracker.entry.start] = tracker.reported
+        if len(self._reported_by_instance) > REPORTED_MAX:
+            del self._reported_by_instance[next(iter(self._reported_by_instance))]
 
     def close_expired(self) -> None:
         """Close idle connections that are too old."""
--- a/libs/serving/ruddersaddle_serving/upstream_shares.py
+++ b/libs/serving/ruddersaddle_serving/upstream_shares.py
@@ -108,7 +108,7 @@
 
     def note_sent(self, tracker: Tracker) -> None:
         """Count a request that leaves for an upstream, bounded or not: it may be at once."""
-        tracker.sends.note(clocks.now_s())
+        tracker.sends.record(clocks.now_s())
         self.cold_sent += self.is_cold(tracker)
         self.limited_sent += tracker.reported.rate_limit.is_named
 
--- a/libs/serving/ruddersaddle_serving/weight_rollouts.py
+++ b/libs/serving/ruddersaddle_serving/weight_rollouts.py
@@ -129,7 +129,7 @@
         """Return the engines that have a model and stay."""
         entries = self.upstreams.by_id.values()
         found = [each for each in entries if model in each.version_by_model and not each.leaving]
-        return [self.trackers.at(entry) for entry in found]
+        return [self.trackers.get_or_create(entry) for entry in found]
 
     def _room(self, model: ModelId, engines: list[Tracker], outdated: list[Tracker]) -> int:
         """Return how many engines more may begin: no more at once than the time asks for.
@@ -240,7 +240,7 @@
             if isinstance(report, Failure):
                 continue
             if report.version_by_model.get(model, 0) >= version:
-                tracker.take_version(model, report.version_by_model[model])
+                tracker.record_version(model, report.version_by_model[model])
                 return True
             if not report.loading and clocks.now_s() - began > UNANSWERED_S:
                 return False
