--- a/libs/serving/ruddersaddle_serving/engine_loads.py
+++ b/libs/serving/ruddersaddle_serving/engine_loads.py
@@ -12,7 +12,7 @@
 from ruddersaddle_serving.admissions import Standing
 from ruddersaddle_serving.paces import Observation, Pace
 from ruddersaddle_serving.prompts import Part, PartId
-from ruddersaddle_serving.silences import TOLD_TRUST_S
+from ruddersaddle_serving.silences import REPORT_TTL_S
 
 FORGET_S = 8.0
 """A request of which nothing more was heard is forgotten after this long: its host may be gone.
@@ -105,13 +105,13 @@
         )
 
     def take_sum(self, source: str, told: LoadSum, includes_own: bool) -> None:
-        """Take a sum of requests that were sent elsewhere; it counts for `TOLD_TRUST_S`."""
+        """Take a sum of requests that were sent elsewhere; it counts for `REPORT_TTL_S`."""
         if includes_own and self.by_number:
             told = _subtract(told, self.own_sum())
         self._others_by_source[source] = (told, clocks.now_s())
 
     def _others(self) -> list[LoadSum]:
-        oldest_at = clocks.now_s() - TOLD_TRUST_S
+        oldest_at = clocks.now_s() - REPORT_TTL_S
         return [told for told, at in self._others_by_source.values() if at > oldest_at]
 
     def _others_tokens(self) -> list[int]:
--- a/libs/serving/ruddersaddle_serving/load_shares.py
+++ b/libs/serving/ruddersaddle_serving/load_shares.py
@@ -17,7 +17,7 @@
 from ruddersaddle_serving.paces import START_S, Pace
 from ruddersaddle_serving.peers import Peers
 from ruddersaddle_serving.self_reports import LimitNews
-from ruddersaddle_serving.silences import Silence
+from ruddersaddle_serving.silences import Liveness
 from ruddersaddle_serving.tasks import spawn_forever
 from ruddersaddle_serving.trackers import Notice, Tracker, Trackers
 from ruddersaddle_serving.upstream_entries import UpstreamStart
@@ -185,7 +185,7 @@
             if tracker is not None and tracker.entry.born_ms == told.born_ms:
                 tracker.load.take_sum(source, told.load, message.is_total)
                 tracker.apply_failure_rate(told.failing_percent / 100)
-                _take_silence(tracker.silence, source, told)
+                _apply_liveness(tracker.liveness, source, told)
                 if told.is_replaced:
                     tracker.record_replaced()
                 tracker.apply_limit(told.limit, message.address, is_first_hand=False)
@@ -197,8 +197,10 @@
 
 def _sum_of(tracker: Tracker, is_total: bool, now: float) -> EngineSum:
     """Return what stands at one engine: of this hall, or of all halls where it is a total."""
-    silence = tracker.silence
-    silent_since = silence.since(now) if is_total else silence.own_since(now)
+    liveness = tracker.liveness
+    unresponsive_since = (
+        liveness.unresponsive_since(now) if is_total else liveness.observed_unresponsive_since(now)
+    )
     return EngineSum(
         upstream=tracker.id,
         load=tracker.load.total_sum() if is_total else tracker.load.own_sum(),
@@ -208,8 +210,8 @@
         run_ms=round(1000 * tracker.load.run_s),
         memory_run_ms=round(1000 * tracker.load.memory_run_s),
         pace_percent=round(100 * tracker.load.pace.factor),
-        heard_ms=round(min(NEVER_MS, 1000 * (now - silence.heard_at))),
-        silent_ms=None if silent_since is None else round(1000 * (now - silent_since)),
+        heard_ms=round(min(NEVER_MS, 1000 * (now - liveness.last_response_at))),
+        silent_ms=None if unresponsive_since is None else round(1000 * (now - unresponsive_since)),
         is_replaced=tracker.is_replaced,
         born_ms=tracker.entry.born_ms,
         start_ms=round(1000 * tracker.load.pace.start_s),
@@ -217,10 +219,10 @@
     )
 
 
-def _take_silence(silence: Silence, source: str, told: EngineSum) -> None:
+def _apply_liveness(liveness: Liveness, source: str, told: EngineSum) -> None:
     """Take when others last heard of an upstream, and since when they find it silent."""
     now = clocks.now_s()
     if told.heard_ms < NEVER_MS:
-        silence.note_heard(now - told.heard_ms / 1000)
+        liveness.record_response(now - told.heard_ms / 1000)
     since = None if told.silent_ms is None else now - told.silent_ms / 1000
-    silence.note_told(source, since, now)
+    liveness.apply_report(source, since, now)
--- a/libs/serving/ruddersaddle_serving/silences.py
+++ b/libs/serving/ruddersaddle_serving/silences.py
@@ -10,19 +10,19 @@
 import msgspec
 from ruddersaddle_base.ids import HostId
 
-OVERDUE_S = 0.4
+SILENCE_TIMEOUT_S = 0.4
 """An upstream that nobody has heard of is silent this long after a request should have been
 answered. Engines in use are heard of ten times a second, so that this waits for rare ones: a long
 prompt alone on an engine that reads at half the usual pace is 0.3 s late."""
-RESTART_S = 1.0
+RESTART_MIN_S = 1.0
 """In a silence of this length an upstream may have started anew."""
-TOLD_TRUST_S = 1.0
+REPORT_TTL_S = 1.0
 """What another host told of an upstream counts this long; readers tell twelve times a second, and a
 run takes about as long."""
-SENT_MAX = 64
+UNANSWERED_MAX = 64
 """Most requests that are watched at one upstream; one that is overdue is enough."""
 
-Number = tuple[str | HostId, int]
+RequestKey = tuple[str | HostId, int]
 """A request: its host, and the host's own number of it."""
 
 
@@ -33,70 +33,74 @@
     due_at: float
 
 
-class Silence:
+class Liveness:
     """Signs of life of one upstream, and the requests that still wait for one."""
 
     def __init__(self) -> None:
-        self.heard_at = float("-inf")
+        self.last_response_at = float("-inf")
         """When anything was last heard of it, by any host that tells this one."""
-        self.ended_at = float("-inf")
+        self.recovered_at = float("-inf")
         """When it was last heard of again after a silence in which it may have started anew."""
-        self._unanswered_by_number: dict[Number, Unanswered] = {}
-        """Requests that were sent since `heard_at`."""
+        self._unanswered_by_number: dict[RequestKey, Unanswered] = {}
+        """Requests that were sent since `last_response_at`."""
         self._evidence_at = float("-inf")
         """When the newest request left that was overdue or got no connection."""
-        self._told_by_source: dict[str, tuple[float, float]] = {}
+        self._reported_by_source: dict[str, tuple[float, float]] = {}
 
-    def note_sent(self, number: Number, now: float, expected_s: float) -> None:
+    def record_sent(self, number: RequestKey, now: float, expected_s: float) -> None:
         """Take that a request was sent that should be answered in `expected_s`."""
-        if len(self._unanswered_by_number) < SENT_MAX:
-            due_at = now + expected_s + OVERDUE_S
+        if len(self._unanswered_by_number) < UNANSWERED_MAX:
+            due_at = now + expected_s + SILENCE_TIMEOUT_S
             self._unanswered_by_number[number] = Unanswered(now, due_at)
 
-    def note_heard(self, at: float) -> None:
+    def record_response(self, at: float) -> None:
         """Take that something came from the upstream at a moment."""
-        if at <= self.heard_at:
+        if at <= self.last_response_at:
             return
-        was_heard = self.heard_at != float("-inf")
-        if was_heard and at - self.heard_at >= RESTART_S and self.since(at) is not None:
-            self.ended_at = at
-        self.heard_at = at
+        had_responded = self.last_response_at != float("-inf")
+        if (
+            had_responded
+            and at - self.last_response_at >= RESTART_MIN_S
+            and self.unresponsive_since(at) is not None
+        ):
+            self.recovered_at = at
+        self.last_response_at = at
         self._unanswered_by_number = {
             number: sent for number, sent in self._unanswered_by_number.items() if sent.sent_at > at
         }
 
-    def note_unreached(self, number: Number) -> None:
+    def record_connect_failure(self, number: RequestKey) -> None:
         """Take that no connection for a request came about."""
         sent = self._unanswered_by_number.pop(number, None)
         if sent is not None:
             self._evidence_at = max(self._evidence_at, sent.sent_at)
 
-    def note_left(self, number: Number, now: float) -> None:
+    def record_abandoned(self, number: RequestKey, now: float) -> None:
         """Take that a request ended and that nothing was heard: its caller or its time ended it."""
         sent = self._unanswered_by_number.pop(number, None)
         if sent is not None and now > sent.due_at:
             self._evidence_at = max(self._evidence_at, sent.sent_at)
 
-    def note_told(self, source: str, silent_since: float | None, now: float) -> None:
+    def apply_report(self, source: str, unresponsive_since: float | None, now: float) -> None:
         """Take what another host knows: since when the upstream is silent, or None."""
-        if silent_since is None:
-            self._told_by_source.pop(source, None)
+        if unresponsive_since is None:
+            self._reported_by_source.pop(source, None)
         else:
-            self._told_by_source[source] = (silent_since, now)
+            self._reported_by_source[source] = (unresponsive_since, now)
 
-    def own_since(self, now: float) -> float | None:
+    def observed_unresponsive_since(self, now: float) -> float | None:
         """Return since when the upstream is silent by the requests this host hears of, or None."""
         unanswered = self._unanswered_by_number.values()
         overdue = [sent.sent_at for sent in unanswered if now > sent.due_at]
         since = max([self._evidence_at, *overdue])
-        return since if since > self.heard_at else None
+        return since if since > self.last_response_at else None
 
-    def since(self, now: float) -> float | None:
+    def unresponsive_since(self, now: float) -> float | None:
         """Return since when the upstream is silent by all that is known, or None."""
-        own = self.own_since(now)
-        told = [
+        own = self.observed_unresponsive_since(now)
+        reported = [
             since
-            for since, told_at in self._told_by_source.values()
-            if now - told_at < TOLD_TRUST_S and since > self.heard_at
+            for since, reported_at in self._reported_by_source.values()
+            if now - reported_at < REPORT_TTL_S and since > self.last_response_at
         ]
-        return max(told, default=None) if own is None else max([own, *told])
+        return max(reported, default=None) if own is None else max([own, *reported])
--- a/libs/serving/ruddersaddle_serving/tests/test_upstream_shares.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_upstream_shares.py
@@ -166,13 +166,13 @@
     def test_upstream_is_cold_for_a_while_after_a_silence(self) -> None:
         fleet = Fleet(18.0, {"host-0": ["host-0"]})
         shares, tracker = fleet.shares[0], fleet.trackers[0]
-        tracker.silence.note_heard(self.now)
+        tracker.liveness.record_response(self.now)
         self.now += 0.1
-        tracker.silence.note_sent(("host-0", 1), self.now, 0.2)
+        tracker.liveness.record_sent(("host-0", 1), self.now, 0.2)
         self.now += 1.5
         self.assertTrue(tracker.is_unresponsive)
         self.assertFalse(shares.is_cold(tracker))
-        tracker.silence.note_heard(self.now)
+        tracker.liveness.record_response(self.now)
         self.assertTrue(shares.is_cold(tracker))
         self.now += COLD_S
         self.assertFalse(shares.is_cold(tracker))
--- a/libs/serving/ruddersaddle_serving/trackers.py
+++ b/libs/serving/ruddersaddle_serving/trackers.py
@@ -21,7 +21,7 @@
     Reported,
     SelfReport,
 )
-from ruddersaddle_serving.silences import TOLD_TRUST_S, Silence
+from ruddersaddle_serving.silences import REPORT_TTL_S, Liveness
 from ruddersaddle_serving.upstream_connections import UpstreamConnections
 from ruddersaddle_serving.upstream_entries import UpstreamEntry, UpstreamStart
 
@@ -138,7 +138,7 @@
         self.version_by_model = dict(entry.version_by_model)
         self.avoided_until = 0.0
         """The holder of the lease has it load weights until then, on the steady clock."""
-        self.silence = Silence()
+        self.liveness = Liveness()
         self.sends = RecentSends()
         self.reported = reported or Reported()
         self._failure_rate = 0.0
@@ -160,7 +160,7 @@
     def failure_rate(self) -> float:
         """About the share of recent requests that failed, here or as others told."""
         age_s = clocks.now_s() - self._reported_at
-        told = self._reported_failure_rate if age_s < TOLD_TRUST_S else 0.0
+        told = self._reported_failure_rate if age_s < REPORT_TTL_S else 0.0
         return max(self.observed_failure_rate, told)
 
     @property
@@ -179,7 +179,7 @@
     @property
     def is_unresponsive(self) -> bool:
         """Whether it was sent requests, and no host has heard of it since."""
-        return self.silence.since(clocks.now_s()) is not None
+        return self.liveness.unresponsive_since(clocks.now_s()) is not None
 
     @property
     def is_avoided(self) -> bool:
@@ -228,11 +228,11 @@
         now = clocks.now_s()
         match notice.progress:
             case Progress.SENT:
-                self.silence.note_sent(number, now, notice.expected_s)
+                self.liveness.record_sent(number, now, notice.expected_s)
                 if notice.assignment is not None:
                     self._add_load(number, notice.assignment)
             case Progress.FIRST_EVENT:
-                self.silence.note_heard(now)
+                self.liveness.record_response(now)
                 self.load.note_first(number)
             case Progress.ENDED:
                 self._record_reachability(number, notice.reachability, now)
@@ -240,7 +240,7 @@
                 if notice.failed is not None:
                     self.record_outcome(notice.failed)
             case Progress.PROBE_ANSWERED:
-                self.silence.note_heard(now)
+                self.liveness.record_response(now)
             case Progress.REPLACED:
                 self.record_replaced()
             case Progress.SELF_REPORTED:
@@ -320,11 +320,11 @@
     ) -> None:
         match reachability:
             case Reachability.RESPONDED:
-                self.silence.note_heard(now)
+                self.liveness.record_response(now)
             case Reachability.NO_CONNECTION:
-                self.silence.note_unreached(number)
+                self.liveness.record_connect_failure(number)
             case Reachability.NO_RESPONSE:
-                self.silence.note_left(number, now)
+                self.liveness.record_abandoned(number, now)
 
     def apply_entry(self, entry: UpstreamEntry) -> None:
         """Take a newer entry; versions of weights never go back within one start."""
--- a/libs/serving/ruddersaddle_serving/upstream_shares.py
+++ b/libs/serving/ruddersaddle_serving/upstream_shares.py
@@ -80,7 +80,7 @@
         if pool is None or not pool.cold_per_s:
             return float("-inf")
         again_at = max(
-            tracker.silence.ended_at,
+            tracker.liveness.recovered_at,
             self.publications.evacuations.ended_at(tracker.entry.hall),
         )
         told_until = self.upstreams.cold.until(tracker.entry.start)
