--- a/libs/serving/ruddersaddle_serving/admissions.py
+++ b/libs/serving/ruddersaddle_serving/admissions.py
@@ -39,7 +39,7 @@
 class Standing(msgspec.Struct, frozen=True):
     """What stands at an engine, as far as it matters to a request of some urgency."""
 
-    reading_s: float
+    queued_prefill_s: float
     """Time until all that is as urgent is read, at the engine's own pace; without the time that
     first events take beside reading, which passes for all of them at once."""
     tokens: int
@@ -77,7 +77,7 @@
 
 def _wait_s(standing: Standing, room: Room, tokens: int, steps: int) -> float:
     memory_s = _memory_wait_s(standing, room, steps, tokens)
-    return max(standing.reading_s, memory_s, _slot_wait_s(standing, room, steps))
+    return max(standing.queued_prefill_s, memory_s, _slot_wait_s(standing, room, steps))
 
 
 def _memory_wait_s(standing: Standing, room: Room, steps: int, tokens: int) -> float:
--- a/libs/serving/ruddersaddle_serving/engine_loads.py
+++ b/libs/serving/ruddersaddle_serving/engine_loads.py
@@ -10,7 +10,7 @@
 from ruddersaddle_base import clocks
 
 from ruddersaddle_serving.admissions import Standing
-from ruddersaddle_serving.paces import Observation, Pace
+from ruddersaddle_serving.paces import Observation, ServiceTime
 from ruddersaddle_serving.prompts import Part, PartId
 from ruddersaddle_serving.silences import REPORT_TTL_S
 
@@ -30,10 +30,10 @@
 
 
 class Sent(msgspec.Struct):
-    """A request that was sent to the engine. `work_s` is the nominal time that reading it takes."""
+    """A request sent to the engine; `prefill_s` is its nominal prefill time."""
 
     priority: int
-    work_s: float
+    prefill_s: float
     tokens: int
     """Memory that it needs by itself."""
     salt: str
@@ -56,7 +56,7 @@
 class LoadSum(msgspec.Struct, frozen=True, array_like=True):
     """What stands at an engine, summed by urgency: reading in milliseconds, memory in tokens."""
 
-    work_ms: tuple[int, ...] = ()
+    prefill_ms: tuple[int, ...] = ()
     tokens: tuple[int, ...] = ()
     requests: tuple[int, ...] = ()
 
@@ -76,8 +76,8 @@
         """The same weighed by the tokens of runs; memory comes free by it. Few long runs hold most
         of it: by the plain mean, waits of 1.5 s were predicted as 0.3 s."""
         self._mean_tokens = 0.0
-        self.pace = Pace()
-        self._work_by_priority = [0.0] * PRIORITIES
+        self.service_time = ServiceTime()
+        self._prefill_by_priority = [0.0] * PRIORITIES
         self._tokens_by_priority = [0] * PRIORITIES
         self._requests_by_priority = [0] * PRIORITIES
         self._uses_by_part: dict[tuple[str, PartId], PartUse] = {}
@@ -91,15 +91,15 @@
     def own_sum(self) -> LoadSum:
         """Return the sum of the requests that this host hears of one by one."""
         self._forget_old()
-        work_ms = _strip_zeros([round(each * 1000) for each in self._work_by_priority])
+        prefill_ms = _strip_zeros([round(each * 1000) for each in self._prefill_by_priority])
         tokens = _strip_zeros(self._tokens_by_priority)
-        return LoadSum(work_ms, tokens, _strip_zeros(self._requests_by_priority))
+        return LoadSum(prefill_ms, tokens, _strip_zeros(self._requests_by_priority))
 
     def total_sum(self) -> LoadSum:
         """Return the sum of all requests that are known to be at the engine."""
         sums = [self.own_sum(), *self._others()]
         return LoadSum(
-            _strip_zeros(_sum_rows([each.work_ms for each in sums])),
+            _strip_zeros(_sum_rows([each.prefill_ms for each in sums])),
             _strip_zeros(_sum_rows([each.tokens for each in sums])),
             _strip_zeros(_sum_rows([each.requests for each in sums])),
         )
@@ -120,14 +120,17 @@
     def _others_requests(self) -> list[int]:
         return _sum_rows([told.requests for told in self._others()])
 
-    def _others_work(self) -> list[float]:
-        return [work_ms / 1000 for work_ms in _sum_rows([told.work_ms for told in self._others()])]
+    def _others_prefill(self) -> list[float]:
+        return [
+            prefill_ms / 1000
+            for prefill_ms in _sum_rows([told.prefill_ms for told in self._others()])
+        ]
 
     def add(
         self,
         number: tuple[str, int],
         priority: int,
-        work_s: float,
+        prefill_s: float,
         tokens: int,
         fetch_s: float = 0.0,
         capacity_tokens: int = 0,
@@ -141,12 +144,12 @@
         self._forget_old()
         priority = min(PRIORITIES - 1, max(0, priority))
         has_room = capacity_tokens <= 0 or self.tokens + tokens <= capacity_tokens
-        reading_s = self._reading_s(priority) + work_s
-        seen = Observation(reading_s, fetch_s) if has_room else None
+        queued_prefill_s = self._queued_prefill_s(priority) + prefill_s
+        seen = Observation(queued_prefill_s, fetch_s) if has_room else None
         own = max(0, tokens - sum(part.tokens for part in parts))
         now = clocks.now_s()
-        self.by_number[number] = Sent(priority, work_s, own, salt, parts, now, seen)
-        self._work_by_priority[priority] += work_s
+        self.by_number[number] = Sent(priority, prefill_s, own, salt, parts, now, seen)
+        self._prefill_by_priority[priority] += prefill_s
         self._tokens_by_priority[priority] += own
         self._requests_by_priority[priority] += 1
         for part in parts:
@@ -177,12 +180,12 @@
         if sent is not None and sent.first_at is None:
             sent.first_at = clocks.now_s()
             if sent.seen is not None:
-                self.pace.note(sent.seen, sent.first_at - sent.at)
-            self._drop_work(sent)
+                self.service_time.record(sent.seen, sent.first_at - sent.at)
+            self._drop_prefill(sent)
 
-    def _drop_work(self, sent: Sent) -> None:
-        left_s = self._work_by_priority[sent.priority] - sent.work_s
-        self._work_by_priority[sent.priority] = max(0.0, left_s)
+    def _drop_prefill(self, sent: Sent) -> None:
+        left_s = self._prefill_by_priority[sent.priority] - sent.prefill_s
+        self._prefill_by_priority[sent.priority] = max(0.0, left_s)
 
     def _note_run(self, run_s: float, tokens: int) -> None:
         self.run_s += RUN_WEIGHT * (run_s - self.run_s)
@@ -198,7 +201,7 @@
         if sent is None:
             return
         if sent.first_at is None:
-            self._drop_work(sent)
+            self._drop_prefill(sent)
         else:
             tokens = sent.tokens + sum(part.tokens for part in sent.parts)
             self._note_run(clocks.now_s() - sent.first_at, tokens)
@@ -213,7 +216,7 @@
         steps = priority + 1
         requests = _sum_rows([tuple(self._requests_by_priority), tuple(self._others_requests())])
         return Standing(
-            reading_s=self._reading_s(priority) * self.pace.factor,
+            queued_prefill_s=self._queued_prefill_s(priority) * self.service_time.factor,
             tokens=sum(self._tokens_by_priority[:steps]) + sum(self._others_tokens()[:steps]),
             requests=sum(requests),
             less_urgent=sum(requests[steps:]),
@@ -221,10 +224,10 @@
             memory_run_s=self.memory_run_s,
         )
 
-    def _reading_s(self, priority: int) -> float:
+    def _queued_prefill_s(self, priority: int) -> float:
         """Return the nominal time until all that is as urgent is read."""
         steps = priority + 1
-        return sum(self._work_by_priority[:steps]) + sum(self._others_work()[:steps])
+        return sum(self._prefill_by_priority[:steps]) + sum(self._others_prefill()[:steps])
 
     def _forget_old(self) -> None:
         oldest_at = clocks.now_s() - FORGET_S
@@ -254,7 +257,7 @@
 def _subtract(told: LoadSum, own: LoadSum) -> LoadSum:
     """Return the rest of a sum that counted the own requests as well."""
     return LoadSum(
-        _less(told.work_ms, own.work_ms),
+        _less(told.prefill_ms, own.prefill_ms),
         _less(told.tokens, own.tokens),
         _less(told.requests, own.requests),
     )
--- a/libs/serving/ruddersaddle_serving/load_shares.py
+++ b/libs/serving/ruddersaddle_serving/load_shares.py
@@ -14,7 +14,7 @@
 
 from ruddersaddle_serving.engine_loads import LoadSum
 from ruddersaddle_serving.hosts import Hosts
-from ruddersaddle_serving.paces import START_S, Pace
+from ruddersaddle_serving.paces import OVERHEAD_S, ServiceTime
 from ruddersaddle_serving.peers import Peers
 from ruddersaddle_serving.self_reports import LimitNews
 from ruddersaddle_serving.silences import Liveness
@@ -61,7 +61,7 @@
     """Mean length of a run from its first event."""
     memory_run_ms: int = 1000
     """The same weighed by the tokens of runs."""
-    pace_percent: int = 100
+    prefill_percent: int = 100
     """What reading takes, as a share of the nominal time."""
     heard_ms: int = NEVER_MS
     """How long ago any host heard of it."""
@@ -71,7 +71,7 @@
     """Whether another upstream answers at its address."""
     born_ms: int | None = None
     """Which start of it this is; None where that is not told."""
-    start_ms: float = START_S * 1000
+    overhead_ms: float = OVERHEAD_S * 1000
     """Time that first events take beside reading."""
     limit: LimitNews | None = None
     """What is known of the limit that it names."""
@@ -192,7 +192,9 @@
                 if message.is_total:
                     tracker.load.run_s = told.run_ms / 1000
                     tracker.load.memory_run_s = told.memory_run_ms / 1000
-                    tracker.load.pace = Pace(told.pace_percent / 100, told.start_ms / 1000)
+                    tracker.load.service_time = ServiceTime(
+                        told.prefill_percent / 100, told.overhead_ms / 1000
+                    )
 
 
 def _sum_of(tracker: Tracker, is_total: bool, now: float) -> EngineSum:
@@ -209,12 +211,12 @@
         ),
         run_ms=round(1000 * tracker.load.run_s),
         memory_run_ms=round(1000 * tracker.load.memory_run_s),
-        pace_percent=round(100 * tracker.load.pace.factor),
+        prefill_percent=round(100 * tracker.load.service_time.factor),
         heard_ms=round(min(NEVER_MS, 1000 * (now - liveness.last_response_at))),
         silent_ms=None if unresponsive_since is None else round(1000 * (now - unresponsive_since)),
         is_replaced=tracker.is_replaced,
         born_ms=tracker.entry.born_ms,
-        start_ms=round(1000 * tracker.load.pace.start_s),
+        overhead_ms=round(1000 * tracker.load.service_time.overhead_s),
         limit=tracker.reported.rate_limit.news(),
     )
 
--- a/libs/serving/ruddersaddle_serving/placements.py
+++ b/libs/serving/ruddersaddle_serving/placements.py
@@ -288,7 +288,7 @@
         assignment = Assignment(
             best.salt,
             prompt.shared_parts,
-            best.work_s,
+            best.prefill_s,
             best.tokens,
             request.priority,
             best.fetch_s,
--- a/libs/serving/ruddersaddle_serving/tests/test_placements.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_placements.py
@@ -152,10 +152,10 @@
         self,
     ) -> None:
         for tracker in (self.first, self.second):
-            tracker.load.pace.factor = 4.0
+            tracker.load.service_time.factor = 4.0
         choice = self.choose(9000, may_refuse=True)
         self.assertIsInstance(choice, Choice)
-        self.assertGreater(choice.assignment.work_s * 4.0, ROUTE.target_latency_s)
+        self.assertGreater(choice.assignment.prefill_s * 4.0, ROUTE.target_latency_s)
 
     def test_refused_callers_come_back_at_different_times(self) -> None:
         for tracker in (self.first, self.second):
@@ -166,7 +166,7 @@
     def test_engine_that_is_seen_to_read_slowly_is_left_for_another(self) -> None:
         self.assertEqual(self.choose(5000).wait_s, 0.0)
         for slow, other in ((self.first, self.second), (self.second, self.first)):
-            slow.load.pace.factor, other.load.pace.factor = 3.0, 1.0
+            slow.load.service_time.factor, other.load.service_time.factor = 3.0, 1.0
             self.assertIs(self.choose(5000).tracker, other)
 
     def test_what_is_admitted_follows_what_engines_are_seen_to_take(self) -> None:
@@ -174,7 +174,7 @@
             tracker.load.add(("host", 1), 1, 0.1, 100)
         self.assertIsInstance(self.choose(200, may_refuse=True), Choice)
         for tracker in (self.first, self.second):
-            tracker.load.pace.factor = 4.0
+            tracker.load.service_time.factor = 4.0
         self.assertIsInstance(self.choose(200, may_refuse=True), Failure)
 
     def test_request_that_was_tried_is_sent_however_long_it_would_wait(self) -> None:
--- a/libs/serving/ruddersaddle_serving/trackers.py
+++ b/libs/serving/ruddersaddle_serving/trackers.py
@@ -11,7 +11,7 @@
 from ruddersaddle_base.ids import PoolId, RequestId, UpstreamId
 
 from ruddersaddle_serving.engine_loads import EngineLoad, EngineMemory
-from ruddersaddle_serving.paces import Pace
+from ruddersaddle_serving.paces import ServiceTime
 from ruddersaddle_serving.prompts import Part
 from ruddersaddle_serving.routes import RouteTable
 from ruddersaddle_serving.self_reports import (
@@ -76,7 +76,7 @@
 
     salt: str
     parts: tuple[Part, ...]
-    work_s: float
+    prefill_s: float
     """Nominal time that reading what the engine lacks takes, in seconds."""
     tokens: int
     priority: int
@@ -251,7 +251,7 @@
         self.load.add(
             number,
             assignment.priority,
-            assignment.work_s,
+            assignment.prefill_s,
             assignment.tokens,
             assignment.fetch_s,
             self.memory.capacity_tokens,
@@ -372,7 +372,7 @@
                 tracker.connections.close()
             reported = self._reported_by_instance.pop(entry.start, None)
             tracker = Tracker(entry, self._memory_tokens(entry), reported)
-            tracker.load.pace = self._usual_pace(entry.pool)
+            tracker.load.service_time = self._typical_service_time(entry.pool)
             self._mark_predecessors_replaced(tracker)
             self.by_id[entry.id] = tracker
         elif tracker.entry is not entry:
@@ -386,13 +386,15 @@
             if is_older and each.entry.address == tracker.entry.address:
                 each.record_replaced()
 
-    def _usual_pace(self, pool: PoolId) -> Pace:
+    def _typical_service_time(self, pool: PoolId) -> ServiceTime:
         """Return the middle pace of a pool's engines, with which a new one begins."""
-        paces = [each.load.pace for each in self.by_id.values() if each.entry.pool == pool]
-        if not paces:
-            return Pace()
-        factor = median_low([pace.factor for pace in paces])
-        return Pace(factor, median_low([pace.start_s for pace in paces]))
+        service_times = [
+            each.load.service_time for each in self.by_id.values() if each.entry.pool == pool
+        ]
+        if not service_times:
+            return ServiceTime()
+        factor = median_low([each.factor for each in service_times])
+        return ServiceTime(factor, median_low([each.overhead_s for each in service_times]))
 
     def keep_only(self, upstreams: set[UpstreamId]) -> None:
         """Forget upstreams that are gone and have no request under way."""
--- a/libs/serving/ruddersaddle_serving/weighings.py
+++ b/libs/serving/ruddersaddle_serving/weighings.py
@@ -14,7 +14,7 @@
 )
 from ruddersaddle_serving.context_stores import KeptStore
 from ruddersaddle_serving.kept_parts import KeptParts, make_salt
-from ruddersaddle_serving.paces import nominal_work_s
+from ruddersaddle_serving.paces import nominal_prefill_s
 from ruddersaddle_serving.prompts import CallerRequest, Prompt
 from ruddersaddle_serving.trackers import Tracker
 
@@ -33,11 +33,11 @@
     """What stands at the engine for what is as urgent."""
     room: Room
     fetch_s: float
-    work_s: float
+    prefill_s: float
     """Nominal time that the engine reads until the first event."""
-    pace: float
+    prefill_factor: float
     """What the engine takes to read, as a multiple of the nominal time."""
-    start_s: float
+    overhead_s: float
     """What its first events take beside reading."""
     tokens: int
     """Memory that the request needs at the engine."""
@@ -47,7 +47,7 @@
     @property
     def first_s(self) -> float:
         """Predicted time until the first event."""
-        return self.wait_s + self.start_s + self.fetch_s + self.work_s * self.pace
+        return self.wait_s + self.overhead_s + self.fetch_s + self.prefill_s * self.prefill_factor
 
     @property
     def admission_s(self) -> float:
@@ -61,7 +61,9 @@
         """
         tokens = round(self.tokens * share)
         wait_s = admission_wait_s(self.standing, self.room, tokens, request.priority)
-        first_s = wait_s + self.start_s + share * (self.fetch_s + self.work_s * self.pace)
+        first_s = (
+            wait_s + self.overhead_s + share * (self.fetch_s + self.prefill_s * self.prefill_factor)
+        )
         memory_share = tokens / max(1, self.room.tokens)
         return excess_s(first_s, wait_s, request.route.target_latency_s, memory_share)
 
@@ -120,9 +122,9 @@
             standing=standing,
             room=room,
             fetch_s=fetch_s,
-            work_s=nominal_work_s(missing),
-            pace=tracker.load.pace.factor,
-            start_s=tracker.load.pace.start_s,
+            prefill_s=nominal_prefill_s(missing),
+            prefill_factor=tracker.load.service_time.factor,
+            overhead_s=tracker.load.service_time.overhead_s,
             tokens=tokens,
             covered_tokens=covered,
             missing_tokens=missing,
