--- a/libs/serving/ruddersaddle_serving/engine_loads.py
+++ b/libs/serving/ruddersaddle_serving/engine_loads.py
@@ -104,7 +104,7 @@
             _strip_zeros(_sum_rows([each.requests for each in sums])),
         )
 
-    def take_sum(self, source: str, told: LoadSum, includes_own: bool) -> None:
+    def apply_sum(self, source: str, told: LoadSum, includes_own: bool) -> None:
         """Take a sum of requests that were sent elsewhere; it counts for `REPORT_TTL_S`."""
         if includes_own and self.by_number:
             told = _subtract(told, self.own_sum())
--- a/libs/serving/ruddersaddle_serving/entry_hosts.py
+++ b/libs/serving/ruddersaddle_serving/entry_hosts.py
@@ -239,7 +239,7 @@
             self._tell_notice(notice)
 
     def _tell_notice(self, notice: Notice) -> None:
-        self.neighbours.loads.tell(notice)
+        self.neighbours.loads.broadcast(notice)
 
     # Running
 
--- a/libs/serving/ruddersaddle_serving/load_shares.py
+++ b/libs/serving/ruddersaddle_serving/load_shares.py
@@ -26,21 +26,21 @@
 DIRECT_HOSTS_MAX = 12
 """Up to so many hosts tell one another directly; above, 85 hosts would each get 2,000 messages a
 second (docs/CAPACITY.md)."""
-NOTICES_S = 0.01
+NOTICE_INTERVAL_S = 0.01
 """Pause between messages about requests at engines. A prompt takes 5 to 200 ms to read, so that
 what others sent has to be known within some ten milliseconds."""
-READER_NOTICES_S = 0.02
+READER_NOTICE_INTERVAL_S = 0.02
 """The same to the reader of a hall, whose totals are older in any case. A message costs both ends
 about 0.2 ms of processor time, system calls included."""
-SUMS_S = 0.04
+SUM_INTERVAL_S = 0.04
 """Pause between sums that readers tell one another: a message for each two halls."""
-TOTALS_EVERY = 2
+SUMS_PER_TOTAL = 2
 """Totals go to a hall with each so many sums, 0.08 s apart. By beliefs of 0.25 s hosts send 120
 prompts at once to what looks idle; but a message of 105 engines is 5.4 KB, and decoding and taking
 it 0.17 ms, on each host of a hall (a loop on one machine, system calls not counted)."""
-NEVER_MS = 60_000
+RESPONSE_AGE_MAX_MS = 60_000
 """Longest time since a sign of life that is told."""
-LOOK_S = 0.5
+ROLE_CHECK_INTERVAL_S = 0.5
 """Pause of a host that sums nothing until it looks again whether it should."""
 
 
@@ -56,16 +56,16 @@
 
     upstream: UpstreamId
     load: LoadSum
-    failing_percent: int
+    failure_percent: int
     run_ms: int
     """Mean length of a run from its first event."""
     memory_run_ms: int = 1000
     """The same weighed by the tokens of runs."""
     prefill_percent: int = 100
     """What reading takes, as a share of the nominal time."""
-    heard_ms: int = NEVER_MS
+    response_age_ms: int = RESPONSE_AGE_MAX_MS
     """How long ago any host heard of it."""
-    silent_ms: int | None = None
+    unresponsive_ms: int | None = None
     """For how long it has been silent; None where it is not."""
     is_replaced: bool = False
     """Whether another upstream answers at its address."""
@@ -85,7 +85,7 @@
     sums: tuple[EngineSum, ...]
 
 
-class LoadShares:
+class LoadExchange:
     """Tells and takes requests at engines."""
 
     def __init__(
@@ -100,7 +100,7 @@
 
     def start(self) -> None:
         """Start the task that tells totals; notices are told when there are some."""
-        spawn_forever("totals", self._tell_totals)
+        spawn_forever("totals", self._send_totals)
 
     @property
     def is_direct(self) -> bool:
@@ -110,18 +110,22 @@
     @property
     def lag_s(self) -> float:
         """How much older than direct notices the knowledge of others' requests is, in seconds."""
-        return 0.0 if self.is_direct else READER_NOTICES_S + (1 + TOTALS_EVERY) * SUMS_S
+        return (
+            0.0
+            if self.is_direct
+            else READER_NOTICE_INTERVAL_S + (1 + SUMS_PER_TOTAL) * SUM_INTERVAL_S
+        )
 
-    def tell(self, notice: Notice) -> None:
+    def broadcast(self, notice: Notice) -> None:
         """Take a step of an own request, and tell it with the next message."""
         self._apply_notice(self.hosts.own.address, notice)
         self._unsent.append(notice)
         if not self._is_scheduled:
             self._is_scheduled = True
-            pause_s = NOTICES_S if self.is_direct else READER_NOTICES_S
-            eventlet.spawn_after(pause_s, self.tell_notices)
+            pause_s = NOTICE_INTERVAL_S if self.is_direct else READER_NOTICE_INTERVAL_S
+            eventlet.spawn_after(pause_s, self.send_notices)
 
-    def tell_notices(self) -> None:
+    def send_notices(self) -> None:
         """Tell what has not been told yet."""
         self._is_scheduled = False
         if not self._unsent:
@@ -145,24 +149,24 @@
             self.upstreams.note_leaving(start, notice.leave.request, host)
 
     @property
-    def is_summing(self) -> bool:
+    def is_aggregating(self) -> bool:
         """Whether this host sums up the requests of its hall."""
         return not self.is_direct and self._is_own(self.hosts.hall_reader())
 
-    def _tell_totals(self) -> None:
+    def _send_totals(self) -> None:
         for turn in itertools.count():
-            if not self.is_summing:
-                eventlet.sleep(LOOK_S)
+            if not self.is_aggregating:
+                eventlet.sleep(ROLE_CHECK_INTERVAL_S)
                 continue
-            self.tell_sums(False)
-            if turn % TOTALS_EVERY == 0:
-                self.tell_sums(True)
-            eventlet.sleep(SUMS_S)
+            self.send_sums(False)
+            if turn % SUMS_PER_TOTAL == 0:
+                self.send_sums(True)
+            eventlet.sleep(SUM_INTERVAL_S)
 
     def _is_own(self, address: str) -> bool:
         return address == self.hosts.own.address
 
-    def tell_sums(self, is_total: bool) -> None:
+    def send_sums(self, is_total: bool) -> None:
         """Tell other readers the sums of this hall, or this hall the totals."""
         message = LoadSums(self.hosts.own.address, is_total, self._sums(is_total))
         targets = self.hosts.hall_addresses() if is_total else self._other_readers()
@@ -175,29 +179,29 @@
 
     def _sums(self, is_total: bool) -> tuple[EngineSum, ...]:
         now = clocks.now_s()
-        return tuple(_sum_of(each, is_total, now) for each in self.trackers.by_id.values())
+        return tuple(_summarize(each, is_total, now) for each in self.trackers.by_id.values())
 
-    def take_sums(self, message: LoadSums) -> None:
+    def apply_sums(self, message: LoadSums) -> None:
         """Take another reader's sums, or the totals of this hall's reader."""
         source = "hall" if message.is_total else message.address
-        for told in message.sums:
-            tracker = self.trackers.by_id.get(told.upstream)
-            if tracker is not None and tracker.entry.born_ms == told.born_ms:
-                tracker.load.take_sum(source, told.load, message.is_total)
-                tracker.apply_failure_rate(told.failing_percent / 100)
-                _apply_liveness(tracker.liveness, source, told)
-                if told.is_replaced:
+        for reported in message.sums:
+            tracker = self.trackers.by_id.get(reported.upstream)
+            if tracker is not None and tracker.entry.born_ms == reported.born_ms:
+                tracker.load.apply_sum(source, reported.load, message.is_total)
+                tracker.apply_failure_rate(reported.failure_percent / 100)
+                _apply_liveness(tracker.liveness, source, reported)
+                if reported.is_replaced:
                     tracker.record_replaced()
-                tracker.apply_limit(told.limit, message.address, is_first_hand=False)
+                tracker.apply_limit(reported.limit, message.address, is_first_hand=False)
                 if message.is_total:
-                    tracker.load.run_s = told.run_ms / 1000
-                    tracker.load.memory_run_s = told.memory_run_ms / 1000
+                    tracker.load.run_s = reported.run_ms / 1000
+                    tracker.load.memory_run_s = reported.memory_run_ms / 1000
                     tracker.load.service_time = ServiceTime(
-                        told.prefill_percent / 100, told.overhead_ms / 1000
+                        reported.prefill_percent / 100, reported.overhead_ms / 1000
                     )
 
 
-def _sum_of(tracker: Tracker, is_total: bool, now: float) -> EngineSum:
+def _summarize(tracker: Tracker, is_total: bool, now: float) -> EngineSum:
     """Return what stands at one engine: of this hall, or of all halls where it is a total."""
     liveness = tracker.liveness
     unresponsive_since = (
@@ -206,14 +210,16 @@
     return EngineSum(
         upstream=tracker.id,
         load=tracker.load.total_sum() if is_total else tracker.load.own_sum(),
-        failing_percent=round(
+        failure_percent=round(
             100 * (tracker.failure_rate if is_total else tracker.observed_failure_rate)
         ),
         run_ms=round(1000 * tracker.load.run_s),
         memory_run_ms=round(1000 * tracker.load.memory_run_s),
         prefill_percent=round(100 * tracker.load.service_time.factor),
-        heard_ms=round(min(NEVER_MS, 1000 * (now - liveness.last_response_at))),
-        silent_ms=None if unresponsive_since is None else round(1000 * (now - unresponsive_since)),
+        response_age_ms=round(min(RESPONSE_AGE_MAX_MS, 1000 * (now - liveness.last_response_at))),
+        unresponsive_ms=None
+        if unresponsive_since is None
+        else round(1000 * (now - unresponsive_since)),
         is_replaced=tracker.is_replaced,
         born_ms=tracker.entry.born_ms,
         overhead_ms=round(1000 * tracker.load.service_time.overhead_s),
@@ -221,10 +227,10 @@
     )
 
 
-def _apply_liveness(liveness: Liveness, source: str, told: EngineSum) -> None:
+def _apply_liveness(liveness: Liveness, source: str, reported: EngineSum) -> None:
     """Take when others last heard of an upstream, and since when they find it silent."""
     now = clocks.now_s()
-    if told.heard_ms < NEVER_MS:
-        liveness.record_response(now - told.heard_ms / 1000)
-    since = None if told.silent_ms is None else now - told.silent_ms / 1000
+    if reported.response_age_ms < RESPONSE_AGE_MAX_MS:
+        liveness.record_response(now - reported.response_age_ms / 1000)
+    since = None if reported.unresponsive_ms is None else now - reported.unresponsive_ms / 1000
     liveness.apply_report(source, since, now)
--- a/libs/serving/ruddersaddle_serving/neighbours.py
+++ b/libs/serving/ruddersaddle_serving/neighbours.py
@@ -15,7 +15,7 @@
 from ruddersaddle_serving.host_lists import HostList
 from ruddersaddle_serving.hosts import Hosts
 from ruddersaddle_serving.kept_parts import KeptParts
-from ruddersaddle_serving.load_shares import LoadShares, LoadSums, Notices
+from ruddersaddle_serving.load_shares import LoadExchange, LoadSums, Notices
 from ruddersaddle_serving.neighbour_messages import (
     AskNews,
     Changed,
@@ -87,7 +87,7 @@
         self.peers = Peers(self.address, self._answer, NeighbourMessage)
         self.list = HostList(hosts, store)
         self.list.listeners.append(lambda: self.peers.keep_only(set(hosts.addresses())))
-        self.loads = LoadShares(hosts, self.peers, trackers, upstreams)
+        self.loads = LoadExchange(hosts, self.peers, trackers, upstreams)
         self.crashes = CrashShares(hosts, self.peers, store, crashes)
         self._revision_by_address: dict[str, int] = {}
         self._crashes_revision_by_address: dict[str, int] = {}
@@ -268,7 +268,7 @@
             case Notices():
                 self.loads.apply_notices(message)
             case LoadSums():
-                self.loads.take_sums(message)
+                self.loads.apply_sums(message)
             case CrashNews():
                 self.crashes.take(message)
             case AskParts():
--- a/libs/serving/ruddersaddle_serving/tests/crash_replays.py
+++ b/libs/serving/ruddersaddle_serving/tests/crash_replays.py
@@ -174,7 +174,7 @@
         published = Published(1, pools=(Pool(POOL, None, crashes.cold_s, crashes.cold_per_s),))
         for host in self.hosts:
             host.placement.publications.take(published)
-            host.shares.hosts.known_at = self.now - JOIN_S
+            host.exchange.hosts.known_at = self.now - JOIN_S
         engines = list(self.engine_by_id.values())
         for moment in crashes.moments:
             for engine in self.draw.sample(engines, round(crashes.share * len(engines))):
--- a/libs/serving/ruddersaddle_serving/tests/load_replays.py
+++ b/libs/serving/ruddersaddle_serving/tests/load_replays.py
@@ -21,10 +21,10 @@
 from ruddersaddle_serving.hosts import HostRecord, Hosts
 from ruddersaddle_serving.kept_parts import KeptParts
 from ruddersaddle_serving.load_shares import (
-    READER_NOTICES_S,
-    SUMS_S,
-    TOTALS_EVERY,
-    LoadShares,
+    READER_NOTICE_INTERVAL_S,
+    SUM_INTERVAL_S,
+    SUMS_PER_TOTAL,
+    LoadExchange,
 )
 from ruddersaddle_serving.placements import Choice, Placement
 from ruddersaddle_serving.ports import Presence
@@ -174,9 +174,9 @@
 class ReplayHost:
     """The decisions of one host, and to which engines it has connections."""
 
-    def __init__(self, replay: "Replay", shares: LoadShares) -> None:
-        self.shares = shares
-        trackers = shares.trackers
+    def __init__(self, replay: "Replay", exchange: LoadExchange) -> None:
+        self.exchange = exchange
+        trackers = exchange.trackers
         upstreams = UpstreamList()
         for engine in replay.engine_by_id.values():
             upstreams.put(engine.entry)
@@ -185,13 +185,13 @@
             tracker.connections = ReplayConnections(self, engine.entry.id)
         publications = Publications()
         kept = KeptParts(mock.Mock())
-        hall = shares.hosts.own.hall
-        cold = UpstreamShares(shares.hosts, publications, upstreams)
+        hall = exchange.hosts.own.hall
+        cold = UpstreamShares(exchange.hosts, publications, upstreams)
         self.placement = Placement(hall, 12.0, publications, upstreams, trackers, kept, cold)
-        self.placement.belief_lag_s = lambda: shares.lag_s
+        self.placement.belief_lag_s = lambda: exchange.lag_s
         engines = mock.Mock()
         engines.presence.side_effect = lambda _, start: replay.presence(start.id)
-        self.probes = Probes(shares.hosts, trackers, engines, shares.tell)
+        self.probes = Probes(exchange.hosts, trackers, engines, exchange.broadcast)
         self.connected_until: dict[UpstreamId, float] = {}
 
     def connects(self, upstream: UpstreamId) -> bool:
@@ -325,7 +325,7 @@
         self._tell(Progress.ENDED, reachability=Reachability.RESPONDED, failed=False)
 
     def _tell(self, progress: Progress, **fields: object) -> None:
-        self.host.shares.tell(Notice(self.upstream, self.number, progress, **fields))
+        self.host.exchange.broadcast(Notice(self.upstream, self.number, progress, **fields))
 
 
 class Replay:
@@ -390,14 +390,16 @@
         for host, record in records.items():
             hosts = Hosts(host, record, [])
             hosts.replace(records)
-            peers.by_address[record.address] = LoadShares(hosts, peers, Trackers(), mock.Mock())
-        self.hosts = [ReplayHost(self, shares) for shares in peers.by_address.values()]
+            peers.by_address[record.address] = LoadExchange(hosts, peers, Trackers(), mock.Mock())
+        self.hosts = [ReplayHost(self, exchange) for exchange in peers.by_address.values()]
         for host in self.hosts:
-            self._every(READER_NOTICES_S, host.shares.tell_notices)
-            if host.shares.is_summing:
-                self._every(SUMS_S, lambda shares=host.shares: shares.tell_sums(False))
-                totals_s = SUMS_S * TOTALS_EVERY
-                self._every(totals_s, lambda shares=host.shares: shares.tell_sums(True))
+            self._every(READER_NOTICE_INTERVAL_S, host.exchange.send_notices)
+            if host.exchange.is_aggregating:
+                self._every(
+                    SUM_INTERVAL_S, lambda exchange=host.exchange: exchange.send_sums(False)
+                )
+                totals_s = SUM_INTERVAL_S * SUMS_PER_TOTAL
+                self._every(totals_s, lambda exchange=host.exchange: exchange.send_sums(True))
                 self._every(LOOK_S, lambda probes=host.probes: self._probe(probes))
         self._plan_callers()
         self._plan_darkness()
--- a/libs/serving/ruddersaddle_serving/tests/test_load_shares.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_load_shares.py
@@ -5,7 +5,7 @@
 from ruddersaddle_base.ids import HallId, HostId, PoolId, RequestId, UpstreamId
 
 from ruddersaddle_serving.hosts import HostRecord, Hosts
-from ruddersaddle_serving.load_shares import LoadShares, LoadSums, Notices
+from ruddersaddle_serving.load_shares import LoadExchange, LoadSums, Notices
 from ruddersaddle_serving.prompts import Part, PartId
 from ruddersaddle_serving.self_reports import Leave, LimitNews
 from ruddersaddle_serving.tests.engine_waits import wait_s
@@ -23,7 +23,7 @@
     """Carries messages between the shares of hosts, by address."""
 
     def __init__(self) -> None:
-        self.by_address: dict[str, LoadShares] = {}
+        self.by_address: dict[str, LoadExchange] = {}
         self.sent = 0
 
     def tell_all(self, addresses: list[str], message: Notices | LoadSums) -> None:
@@ -33,7 +33,7 @@
             if isinstance(message, Notices):
                 shares.apply_notices(message)
             else:
-                shares.take_sums(message)
+                shares.apply_sums(message)
 
 
 def make_trackers() -> Trackers:
@@ -43,7 +43,7 @@
     return trackers
 
 
-def make_fleet(halls: int, in_hall: int) -> tuple[FakePeers, list[LoadShares]]:
+def make_fleet(halls: int, in_hall: int) -> tuple[FakePeers, list[LoadExchange]]:
     records = {
         HostId(f"h{hall}-{number}"): HostRecord(f"10.0.{hall}.{number}:1", HallId(f"hall-{hall}"))
         for hall in range(halls)
@@ -53,24 +53,26 @@
     for host, record in records.items():
         hosts = Hosts(host, record, [])
         hosts.replace(records)
-        peers.by_address[record.address] = LoadShares(hosts, peers, make_trackers(), UpstreamList())
+        peers.by_address[record.address] = LoadExchange(
+            hosts, peers, make_trackers(), UpstreamList()
+        )
     return peers, list(peers.by_address.values())
 
 
 class LoadSharesTest(FixedClockTest):
-    def settle(self, fleet: list[LoadShares]) -> None:
+    def settle(self, fleet: list[LoadExchange]) -> None:
         """Let every host tell its notices, then every reader its sums and totals."""
         for shares in fleet:
-            shares.tell_notices()
+            shares.send_notices()
         for is_total in (False, True):
             for shares in fleet:
-                if shares.is_summing:
-                    shares.tell_sums(is_total)
+                if shares.is_aggregating:
+                    shares.send_sums(is_total)
 
-    def send(self, shares: LoadShares, number: int) -> None:
-        shares.tell(Notice(ENGINE, number, Progress.SENT, ASSIGNMENT))
+    def send(self, shares: LoadExchange, number: int) -> None:
+        shares.broadcast(Notice(ENGINE, number, Progress.SENT, ASSIGNMENT))
 
-    def waits(self, fleet: list[LoadShares]) -> set[float]:
+    def waits(self, fleet: list[LoadExchange]) -> set[float]:
         loads = [shares.trackers.by_id[ENGINE].load for shares in fleet]
         return {round(wait_s(load, 1, 10, CAPACITY), 3) for load in loads}
 
@@ -107,7 +109,7 @@
     def test_failures_that_any_host_saw_are_known_to_all_and_fade(self) -> None:
         _, fleet = make_fleet(2, 10)
         for number in range(8):
-            fleet[number].tell(Notice(ENGINE, number, Progress.ENDED, failed=True))
+            fleet[number].broadcast(Notice(ENGINE, number, Progress.ENDED, failed=True))
         self.settle(fleet)
         sound = {shares.trackers.by_id[ENGINE].is_healthy for shares in fleet}
         self.assertEqual(sound, {False})
@@ -117,28 +119,30 @@
         sound = {shares.trackers.by_id[ENGINE].is_healthy for shares in fleet}
         self.assertEqual(sound, {True})
 
-    def silent_count(self, fleet: list[LoadShares]) -> int:
+    def silent_count(self, fleet: list[LoadExchange]) -> int:
         return sum(shares.trackers.by_id[ENGINE].is_unresponsive for shares in fleet)
 
     def test_dark_engine_that_one_host_finds_is_left_by_all(self) -> None:
         """Each of 195 hosts found each of 16 dark engines with requests of callers."""
         _, fleet = make_fleet(3, 8)
-        fleet[0].tell(Notice(ENGINE, 1, Progress.SENT, expected_s=0.1))
+        fleet[0].broadcast(Notice(ENGINE, 1, Progress.SENT, expected_s=0.1))
         self.now += 0.15
-        fleet[0].tell(Notice(ENGINE, 1, Progress.ENDED, reachability=Reachability.NO_CONNECTION))
+        fleet[0].broadcast(
+            Notice(ENGINE, 1, Progress.ENDED, reachability=Reachability.NO_CONNECTION)
+        )
         self.settle(fleet)
         self.assertEqual(self.silent_count(fleet), 24)
         for _ in range(30):
             self.now += 0.1
             self.settle(fleet)
         self.assertEqual(self.silent_count(fleet), 24)
-        fleet[9].tell(Notice(ENGINE, 2, Progress.PROBE_ANSWERED))
+        fleet[9].broadcast(Notice(ENGINE, 2, Progress.PROBE_ANSWERED))
         self.settle(fleet)
         self.assertEqual(self.silent_count(fleet), 0)
 
     def test_engine_that_one_host_found_replaced_is_left_by_all(self) -> None:
         _, fleet = make_fleet(3, 8)
-        fleet[5].tell(Notice(ENGINE, 1, Progress.REPLACED))
+        fleet[5].broadcast(Notice(ENGINE, 1, Progress.REPLACED))
         self.settle(fleet)
         sound = {shares.trackers.by_id[ENGINE].is_healthy for shares in fleet}
         self.assertEqual(sound, {False})
@@ -148,7 +152,7 @@
             _, fleet = make_fleet(halls, in_hall)
             for ended in (False, True):
                 news = LimitNews(2.1, ended, RequestId("q"))
-                fleet[4].tell(Notice(ENGINE, 1, Progress.SELF_REPORTED, limit=news))
+                fleet[4].broadcast(Notice(ENGINE, 1, Progress.SELF_REPORTED, limit=news))
                 self.settle(fleet)
                 named = {each.trackers.by_id[ENGINE].reported.rate_limit.is_named for each in fleet}
                 with self.subTest(halls=halls, ended=ended):
@@ -158,8 +162,8 @@
     def test_leave_that_one_host_hears_of_is_known_to_all_of_few_and_to_the_reader(self) -> None:
         for halls, in_hall, knowing in ((2, 3, 6), (1, 20, 2)):
             _, fleet = make_fleet(halls, in_hall)
-            teller = next(each for each in fleet if not each.is_summing)
-            teller.tell(Notice(ENGINE, 1, Progress.SELF_REPORTED, leave=Leave(RequestId("q"))))
+            sender = next(each for each in fleet if not each.is_aggregating)
+            sender.broadcast(Notice(ENGINE, 1, Progress.SELF_REPORTED, leave=Leave(RequestId("q"))))
             self.settle(fleet)
             known = [each for each in fleet if each.upstreams.is_leaving(UpstreamStart(ENGINE))]
             with self.subTest(hosts=len(fleet)):
@@ -168,13 +172,13 @@
     def test_engine_that_others_hear_of_is_not_left(self) -> None:
         _, fleet = make_fleet(3, 8)
         for number in range(20):
-            fleet[0].tell(Notice(ENGINE, number, Progress.SENT, expected_s=0.1))
-            fleet[20].tell(Notice(ENGINE, number, Progress.SENT, expected_s=0.1))
+            fleet[0].broadcast(Notice(ENGINE, number, Progress.SENT, expected_s=0.1))
+            fleet[20].broadcast(Notice(ENGINE, number, Progress.SENT, expected_s=0.1))
             self.now += 0.15
-            fleet[0].tell(
+            fleet[0].broadcast(
                 Notice(ENGINE, number, Progress.ENDED, reachability=Reachability.NO_CONNECTION)
             )
-            fleet[20].tell(Notice(ENGINE, number, Progress.FIRST_EVENT))
+            fleet[20].broadcast(Notice(ENGINE, number, Progress.FIRST_EVENT))
             self.settle(fleet)
             self.assertLessEqual(self.silent_count(fleet), 1)
 
