--- a/libs/serving/ruddersaddle_serving/admissions.py
+++ b/libs/serving/ruddersaddle_serving/admissions.py
@@ -16,15 +16,15 @@
 
 import msgspec
 
-SLOTS_RESERVED = 0.1
+SLOT_SHARE_RESERVED = 0.1
 """Share of an engine's slots that each step of urgency has for itself."""
-MEMORY_RESERVED = 0.15
+MEMORY_SHARE_RESERVED = 0.15
 """Share of an engine's memory that each step of urgency has for itself. Where memory runs out, an
 engine preempts the least urgent run and reads its prompt again."""
-RESERVED_STEPS = 3
+RESERVED_LEVELS = 3
 """Steps below the most urgent class that are told apart."""
-TARGET_SHARE_MOST = 1.1
-TARGET_SHARE_LEAST = 0.7
+TARGET_SHARE_MAX = 1.1
+TARGET_SHARE_MIN = 0.7
 TARGET_SHARE_SLOPE = 12.0
 """Share of the latency target within which the first event has to be predicted. It falls with the
 part of an engine's memory that a request needs: one that needs 12,000 of 70,000 tokens keeps out
@@ -36,7 +36,7 @@
 engines' memory are served under half as often as the others of their kind."""
 
 
-class Standing(msgspec.Struct, frozen=True):
+class Backlog(msgspec.Struct, frozen=True):
     """What stands at an engine, as far as it matters to a request of some urgency."""
 
     queued_prefill_s: float
@@ -46,7 +46,7 @@
     """Memory of all that is as urgent."""
     requests: int
     """Requests of any urgency; runs hold their slots whoever waits."""
-    less_urgent: int
+    lower_priority: int
     """Of these the less urgent ones, which are let in later if they wait."""
     run_s: float
     """Mean length of a run, by which slots come free."""
@@ -54,52 +54,52 @@
     """The same weighed by memory, by which memory comes free."""
 
 
-class Room(msgspec.Struct, frozen=True):
+class Capacity(msgspec.Struct, frozen=True):
     """What an engine has; 0 where that is not known."""
 
     slots: int
     tokens: int
 
 
-def predict_wait_s(standing: Standing, room: Room, tokens: int) -> float:
+def predict_wait_s(backlog: Backlog, capacity: Capacity, tokens: int) -> float:
     """Return how long a request that needs so much memory waits before it is read."""
-    return _wait_s(standing, room, tokens, 0)
+    return _wait_s(backlog, capacity, tokens, 0)
 
 
-def admission_wait_s(standing: Standing, room: Room, tokens: int, priority: int) -> float:
+def admission_wait_s(backlog: Backlog, capacity: Capacity, tokens: int, priority: int) -> float:
     """Return the wait that decides whether and where a request is let in.
 
     It is longer than the predicted one where the request would take what is kept for more urgent
     ones; 0 is the most urgent priority.
     """
-    return _wait_s(standing, room, tokens, min(priority, RESERVED_STEPS))
+    return _wait_s(backlog, capacity, tokens, min(priority, RESERVED_LEVELS))
 
 
-def _wait_s(standing: Standing, room: Room, tokens: int, steps: int) -> float:
-    memory_s = _memory_wait_s(standing, room, steps, tokens)
-    return max(standing.queued_prefill_s, memory_s, _slot_wait_s(standing, room, steps))
+def _wait_s(backlog: Backlog, capacity: Capacity, tokens: int, steps: int) -> float:
+    memory_s = _memory_wait_s(backlog, capacity, steps, tokens)
+    return max(backlog.queued_prefill_s, memory_s, _slot_wait_s(backlog, capacity, steps))
 
 
-def _memory_wait_s(standing: Standing, room: Room, steps: int, tokens: int) -> float:
-    if not room.tokens:
+def _memory_wait_s(backlog: Backlog, capacity: Capacity, steps: int, tokens: int) -> float:
+    if not capacity.tokens:
         return 0.0
-    allowed = room.tokens * (1.0 - MEMORY_RESERVED * steps)
+    allowed = capacity.tokens * (1.0 - MEMORY_SHARE_RESERVED * steps)
     # A request that is larger than what is allowed waits for all others, not for ever.
-    lacking = standing.tokens - max(0.0, allowed - tokens)
-    return standing.memory_run_s * lacking / room.tokens
+    lacking = backlog.tokens - max(0.0, allowed - tokens)
+    return backlog.memory_run_s * lacking / capacity.tokens
 
 
-def _slot_wait_s(standing: Standing, room: Room, steps: int) -> float:
+def _slot_wait_s(backlog: Backlog, capacity: Capacity, steps: int) -> float:
     """Return the time until a slot is free, and taken by nobody who is as urgent.
 
     Runs of any urgency hold their slots. Where only what is as urgent is counted, an urgent request
     is predicted no wait behind slots that are all held by long runs.
     """
-    allowed = max(1.0, room.slots * (1.0 - SLOTS_RESERVED * steps))
-    if not room.slots or standing.requests + 1 <= allowed:
+    allowed = max(1.0, capacity.slots * (1.0 - SLOT_SHARE_RESERVED * steps))
+    if not capacity.slots or backlog.requests + 1 <= allowed:
         return 0.0
-    ahead = max(0.0, standing.requests - allowed - standing.less_urgent)
-    return standing.run_s * (ahead + 1) / room.slots
+    ahead = max(0.0, backlog.requests - allowed - backlog.lower_priority)
+    return backlog.run_s * (ahead + 1) / capacity.slots
 
 
 def excess_s(first_s: float, wait_s: float, target_s: float, memory_share: float) -> float:
@@ -108,5 +108,5 @@
     `memory_share` is the part of the engine's memory that the request needs. What waits for nothing
     is let in however long it takes to read: it would find it no better later.
     """
-    share = max(TARGET_SHARE_LEAST, TARGET_SHARE_MOST - TARGET_SHARE_SLOPE * memory_share)
+    share = max(TARGET_SHARE_MIN, TARGET_SHARE_MAX - TARGET_SHARE_SLOPE * memory_share)
     return min(first_s - target_s * share, wait_s)
--- a/libs/serving/ruddersaddle_serving/engine_loads.py
+++ b/libs/serving/ruddersaddle_serving/engine_loads.py
@@ -9,23 +9,23 @@
 import msgspec
 from ruddersaddle_base import clocks
 
-from ruddersaddle_serving.admissions import Standing
+from ruddersaddle_serving.admissions import Backlog
 from ruddersaddle_serving.paces import Observation, ServiceTime
 from ruddersaddle_serving.prompts import Part, PartId
 from ruddersaddle_serving.silences import REPORT_TTL_S
 
-FORGET_S = 8.0
+REQUEST_TTL_S = 8.0
 """A request of which nothing more was heard is forgotten after this long: its host may be gone.
 Runs of 160 tokens take a few seconds where an engine is full."""
 
-RUN_START_S = 1.0
+INITIAL_RUN_S = 1.0
 """Length of a run before any was seen; the known kinds take 0.1 to 5 s."""
 RUN_WEIGHT = 0.05
 """Weight of the newest run in the mean: about the last twenty count, a second or two of them."""
 RUN_WEIGHT_MAX = 0.3
 """Most that one run of many tokens weighs in the mean length by memory."""
 
-PRIORITIES = 10
+PRIORITY_LEVELS = 10
 """Steps of urgency that engines know; 0 goes first."""
 
 
@@ -40,7 +40,7 @@
     parts: tuple[Part, ...]
     """Parts that it shares with other requests."""
     at: float
-    seen: Observation | None
+    observation: Observation | None
     """What stands before its first event; None where it waits for memory first."""
     first_at: float | None = None
 
@@ -65,65 +65,67 @@
     """The requests at one engine, by the number that their host gave them.
 
     An engine lets the more urgent in first, so what a request waits for is what is as urgent as it.
-    Requests that this host does not hear of one by one come as sums, by whom they were told.
+    Requests that this host does not hear of one by one come as sums, by whom they were reported.
     """
 
     def __init__(self) -> None:
         self.by_number: OrderedDict[tuple[str, int], Sent] = OrderedDict()
-        self.run_s = RUN_START_S
+        self.run_s = INITIAL_RUN_S
         """Mean length of a run from its first event, in seconds; slots come free by it."""
-        self.memory_run_s = RUN_START_S
+        self.memory_run_s = INITIAL_RUN_S
         """The same weighed by the tokens of runs; memory comes free by it. Few long runs hold most
         of it: by the plain mean, waits of 1.5 s were predicted as 0.3 s."""
         self._mean_tokens = 0.0
         self.service_time = ServiceTime()
-        self._prefill_by_priority = [0.0] * PRIORITIES
-        self._tokens_by_priority = [0] * PRIORITIES
-        self._requests_by_priority = [0] * PRIORITIES
+        self._prefill_by_priority = [0.0] * PRIORITY_LEVELS
+        self._tokens_by_priority = [0] * PRIORITY_LEVELS
+        self._requests_by_priority = [0] * PRIORITY_LEVELS
         self._uses_by_part: dict[tuple[str, PartId], PartUse] = {}
-        self._others_by_source: dict[str, tuple[LoadSum, float]] = {}
+        self._remote_by_source: dict[str, tuple[LoadSum, float]] = {}
 
     @property
     def tokens(self) -> int:
         """Tokens of the requests at the engine."""
-        return sum(self._tokens_by_priority) + sum(self._others_tokens())
+        return sum(self._tokens_by_priority) + sum(self._remote_tokens())
 
     def own_sum(self) -> LoadSum:
         """Return the sum of the requests that this host hears of one by one."""
-        self._forget_old()
-        prefill_ms = _strip_zeros([round(each * 1000) for each in self._prefill_by_priority])
-        tokens = _strip_zeros(self._tokens_by_priority)
-        return LoadSum(prefill_ms, tokens, _strip_zeros(self._requests_by_priority))
+        self._expire_old()
+        prefill_ms = _strip_trailing_zeros(
+            [round(each * 1000) for each in self._prefill_by_priority]
+        )
+        tokens = _strip_trailing_zeros(self._tokens_by_priority)
+        return LoadSum(prefill_ms, tokens, _strip_trailing_zeros(self._requests_by_priority))
 
     def total_sum(self) -> LoadSum:
         """Return the sum of all requests that are known to be at the engine."""
-        sums = [self.own_sum(), *self._others()]
+        sums = [self.own_sum(), *self._remote_sums()]
         return LoadSum(
-            _strip_zeros(_sum_rows([each.prefill_ms for each in sums])),
-            _strip_zeros(_sum_rows([each.tokens for each in sums])),
-            _strip_zeros(_sum_rows([each.requests for each in sums])),
+            _strip_trailing_zeros(_sum_rows([each.prefill_ms for each in sums])),
+            _strip_trailing_zeros(_sum_rows([each.tokens for each in sums])),
+            _strip_trailing_zeros(_sum_rows([each.requests for each in sums])),
         )
 
-    def apply_sum(self, source: str, told: LoadSum, includes_own: bool) -> None:
+    def apply_sum(self, source: str, reported: LoadSum, includes_own: bool) -> None:
         """Take a sum of requests that were sent elsewhere; it counts for `REPORT_TTL_S`."""
         if includes_own and self.by_number:
-            told = _subtract(told, self.own_sum())
-        self._others_by_source[source] = (told, clocks.now_s())
+            reported = _subtract(reported, self.own_sum())
+        self._remote_by_source[source] = (reported, clocks.now_s())
 
-    def _others(self) -> list[LoadSum]:
+    def _remote_sums(self) -> list[LoadSum]:
         oldest_at = clocks.now_s() - REPORT_TTL_S
-        return [told for told, at in self._others_by_source.values() if at > oldest_at]
+        return [reported for reported, at in self._remote_by_source.values() if at > oldest_at]
 
-    def _others_tokens(self) -> list[int]:
-        return _sum_rows([told.tokens for told in self._others()])
+    def _remote_tokens(self) -> list[int]:
+        return _sum_rows([reported.tokens for reported in self._remote_sums()])
 
-    def _others_requests(self) -> list[int]:
-        return _sum_rows([told.requests for told in self._others()])
+    def _remote_requests(self) -> list[int]:
+        return _sum_rows([reported.requests for reported in self._remote_sums()])
 
-    def _others_prefill(self) -> list[float]:
+    def _remote_prefill(self) -> list[float]:
         return [
             prefill_ms / 1000
-            for prefill_ms in _sum_rows([told.prefill_ms for told in self._others()])
+            for prefill_ms in _sum_rows([reported.prefill_ms for reported in self._remote_sums()])
         ]
 
     def add(
@@ -141,14 +143,14 @@
 
         `tokens` is all memory that it needs, that of its shared `parts` included.
         """
-        self._forget_old()
-        priority = min(PRIORITIES - 1, max(0, priority))
-        has_room = capacity_tokens <= 0 or self.tokens + tokens <= capacity_tokens
+        self._expire_old()
+        priority = min(PRIORITY_LEVELS - 1, max(0, priority))
+        fits_memory = capacity_tokens <= 0 or self.tokens + tokens <= capacity_tokens
         queued_prefill_s = self._queued_prefill_s(priority) + prefill_s
-        seen = Observation(queued_prefill_s, fetch_s) if has_room else None
+        observation = Observation(queued_prefill_s, fetch_s) if fits_memory else None
         own = max(0, tokens - sum(part.tokens for part in parts))
         now = clocks.now_s()
-        self.by_number[number] = Sent(priority, prefill_s, own, salt, parts, now, seen)
+        self.by_number[number] = Sent(priority, prefill_s, own, salt, parts, now, observation)
         self._prefill_by_priority[priority] += prefill_s
         self._tokens_by_priority[priority] += own
         self._requests_by_priority[priority] += 1
@@ -167,27 +169,27 @@
         else:
             use.count += 1
 
-    def _leave_part(self, key: tuple[str, PartId]) -> None:
+    def _release_part(self, key: tuple[str, PartId]) -> None:
         use = self._uses_by_part[key]
         use.count -= 1
         if not use.count:
             del self._uses_by_part[key]
             self._tokens_by_priority[use.priority] -= use.tokens
 
-    def note_first(self, number: tuple[str, int]) -> None:
+    def record_first_event(self, number: tuple[str, int]) -> None:
         """Take that the first event of a request came, so that its prompt was read."""
         sent = self.by_number.get(number)
         if sent is not None and sent.first_at is None:
             sent.first_at = clocks.now_s()
-            if sent.seen is not None:
-                self.service_time.record(sent.seen, sent.first_at - sent.at)
+            if sent.observation is not None:
+                self.service_time.record(sent.observation, sent.first_at - sent.at)
             self._drop_prefill(sent)
 
     def _drop_prefill(self, sent: Sent) -> None:
         left_s = self._prefill_by_priority[sent.priority] - sent.prefill_s
         self._prefill_by_priority[sent.priority] = max(0.0, left_s)
 
-    def _note_run(self, run_s: float, tokens: int) -> None:
+    def _record_run(self, run_s: float, tokens: int) -> None:
         self.run_s += RUN_WEIGHT * (run_s - self.run_s)
         if not self._mean_tokens:
             self._mean_tokens = float(tokens)
@@ -204,22 +206,22 @@
             self._drop_prefill(sent)
         else:
             tokens = sent.tokens + sum(part.tokens for part in sent.parts)
-            self._note_run(clocks.now_s() - sent.first_at, tokens)
+            self._record_run(clocks.now_s() - sent.first_at, tokens)
         del self.by_number[number]
         for part in sent.parts:
-            self._leave_part((sent.salt, part.id))
+            self._release_part((sent.salt, part.id))
         self._tokens_by_priority[sent.priority] -= sent.tokens
         self._requests_by_priority[sent.priority] -= 1
 
-    def standing(self, priority: int) -> Standing:
+    def backlog(self, priority: int) -> Backlog:
         """Return what stands at the engine for a request of this urgency."""
         steps = priority + 1
-        requests = _sum_rows([tuple(self._requests_by_priority), tuple(self._others_requests())])
-        return Standing(
+        requests = _sum_rows([tuple(self._requests_by_priority), tuple(self._remote_requests())])
+        return Backlog(
             queued_prefill_s=self._queued_prefill_s(priority) * self.service_time.factor,
-            tokens=sum(self._tokens_by_priority[:steps]) + sum(self._others_tokens()[:steps]),
+            tokens=sum(self._tokens_by_priority[:steps]) + sum(self._remote_tokens()[:steps]),
             requests=sum(requests),
-            less_urgent=sum(requests[steps:]),
+            lower_priority=sum(requests[steps:]),
             run_s=self.run_s,
             memory_run_s=self.memory_run_s,
         )
@@ -227,10 +229,10 @@
     def _queued_prefill_s(self, priority: int) -> float:
         """Return the nominal time until all that is as urgent is read."""
         steps = priority + 1
-        return sum(self._prefill_by_priority[:steps]) + sum(self._others_prefill()[:steps])
+        return sum(self._prefill_by_priority[:steps]) + sum(self._remote_prefill()[:steps])
 
-    def _forget_old(self) -> None:
-        oldest_at = clocks.now_s() - FORGET_S
+    def _expire_old(self) -> None:
+        oldest_at = clocks.now_s() - REQUEST_TTL_S
         while self.by_number:
             number, sent = next(iter(self.by_number.items()))
             if sent.at > oldest_at:
@@ -240,30 +242,30 @@
 
 def _sum_rows(rows: list[tuple[int, ...]]) -> list[int]:
     """Add rows by urgency, each of which may lack zeros at its end."""
-    total = [0] * PRIORITIES
+    total = [0] * PRIORITY_LEVELS
     for row in rows:
-        for step, value in enumerate(row[:PRIORITIES]):
+        for step, value in enumerate(row[:PRIORITY_LEVELS]):
             total[step] += value
     return total
 
 
-def _strip_zeros(row: list[int]) -> tuple[int, ...]:
+def _strip_trailing_zeros(row: list[int]) -> tuple[int, ...]:
     end = len(row)
     while end and not row[end - 1]:
         end -= 1
     return tuple(row[:end])
 
 
-def _subtract(told: LoadSum, own: LoadSum) -> LoadSum:
+def _subtract(reported: LoadSum, own: LoadSum) -> LoadSum:
     """Return the rest of a sum that counted the own requests as well."""
     return LoadSum(
-        _less(told.prefill_ms, own.prefill_ms),
-        _less(told.tokens, own.tokens),
-        _less(told.requests, own.requests),
+        _subtract_row(reported.prefill_ms, own.prefill_ms),
+        _subtract_row(reported.tokens, own.tokens),
+        _subtract_row(reported.requests, own.requests),
     )
 
 
-def _less(row: tuple[int, ...], taken: tuple[int, ...]) -> tuple[int, ...]:
+def _subtract_row(row: tuple[int, ...], taken: tuple[int, ...]) -> tuple[int, ...]:
     padded = (*taken, *(0,) * (len(row) - len(taken)))
     return tuple(max(0, each - less) for each, less in zip(row, padded, strict=False))
 
@@ -276,7 +278,7 @@
         self._tokens_by_part: OrderedDict[tuple[str, PartId], int] = OrderedDict()
         self._used = 0
 
-    def use(self, salt: str, parts: tuple[Part, ...]) -> None:
+    def record_use(self, salt: str, parts: tuple[Part, ...]) -> None:
         """Take that a request with these parts was sent to the engine."""
         for part in parts:
             key = (salt, part.id)
@@ -288,7 +290,7 @@
             _, tokens = self._tokens_by_part.popitem(last=False)
             self._used -= tokens
 
-    def leading_tokens(self, salt: str, parts: tuple[Part, ...]) -> int:
+    def cached_prefix_tokens(self, salt: str, parts: tuple[Part, ...]) -> int:
         """Return the tokens of the leading parts that the engine probably keeps."""
         tokens = 0
         for part in parts:
--- a/libs/serving/ruddersaddle_serving/tests/test_engine_loads.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_engine_loads.py
@@ -17,8 +17,8 @@
         self.load.add(("a", 1), 1, 0.1, 1000)
         self.load.add(("b", 1), 1, 0.2, 500)
         self.assertAlmostEqual(wait_s(self.load, 1, 10, 9000), 0.3)
-        self.load.note_first(("a", 1))
-        self.load.note_first(("a", 1))
+        self.load.record_first_event(("a", 1))
+        self.load.record_first_event(("a", 1))
         self.load.service_time.factor = 1.0
         self.assertAlmostEqual(wait_s(self.load, 1, 10, 9000), 0.2)
         self.assertEqual(self.load.tokens, 1500)
@@ -35,7 +35,7 @@
     def test_wait_for_memory_is_what_runs_must_leave(self) -> None:
         self.load.memory_run_s = 2.0
         self.load.add(("a", 1), 1, 0.1, 900)
-        self.load.note_first(("a", 1))
+        self.load.record_first_event(("a", 1))
         self.assertEqual(wait_s(self.load, 1, 100, 1000), 0.0)
         self.assertAlmostEqual(wait_s(self.load, 1, 600, 1000), 1.0)
 
@@ -66,11 +66,11 @@
         for number in range(200):
             for name, tokens, run_s in (("short", 100, 0.1), ("long", 4000, 3.0)):
                 self.load.add((name, number), 1, 0.01, tokens)
-                self.load.note_first((name, number))
+                self.load.record_first_event((name, number))
                 self.now += run_s
                 self.load.end((name, number))
         self.load.add(("a", 1), 1, 0.0, 1000)
-        self.load.note_first(("a", 1))
+        self.load.record_first_event(("a", 1))
         self.assertGreater(wait_s(self.load, 1, 1000, 1000), 2.0)
         self.assertLess(self.load.run_s, 2.0)
 
@@ -79,7 +79,7 @@
             prefill_s = (0.005, 0.1, 0.4)[number % 3]
             self.load.add(("a", number), 1, prefill_s, 10, fetch_s=0.05)
             self.now += 0.05 + 0.06 + 3.0 * prefill_s
-            self.load.note_first(("a", number))
+            self.load.record_first_event(("a", number))
             self.load.end(("a", number))
         self.assertAlmostEqual(self.load.service_time.factor, 3.0, delta=0.1)
         self.assertAlmostEqual(self.load.service_time.overhead_s, 0.06, delta=0.006)
@@ -92,7 +92,7 @@
             self.load.add(("a", number), 1, 0.1, 10, capacity_tokens=1000)
         self.now += 5.0
         for number in range(1, 60):
-            self.load.note_first(("a", number))
+            self.load.record_first_event(("a", number))
         self.assertEqual(self.load.service_time.factor, 1.0)
 
     def test_what_is_less_urgent_is_not_waited_for(self) -> None:
@@ -107,16 +107,16 @@
         a, b, c = (Part(PartId(name), 40) for name in "abc")
         memory = EngineMemory(100)
         for part in (a, b, a, c):
-            memory.use("s", (part,))
-        kept = [memory.leading_tokens("s", (part,)) for part in (a, b, c)]
+            memory.record_use("s", (part,))
+        kept = [memory.cached_prefix_tokens("s", (part,)) for part in (a, b, c)]
         self.assertEqual(kept, [40, 0, 40])
-        self.assertEqual(memory.leading_tokens("other", (a,)), 0)
+        self.assertEqual(memory.cached_prefix_tokens("other", (a,)), 0)
 
     def test_only_leading_parts_count(self) -> None:
         a, b = Part(PartId("a"), 10), Part(PartId("b"), 10)
         memory = EngineMemory(100)
-        memory.use("s", (b,))
-        self.assertEqual(memory.leading_tokens("s", (a, b)), 0)
+        memory.record_use("s", (b,))
+        self.assertEqual(memory.cached_prefix_tokens("s", (a, b)), 0)
 
 
 if __name__ == "__main__":
--- a/libs/serving/ruddersaddle_serving/tests/test_placements.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_placements.py
@@ -91,7 +91,7 @@
     def test_engine_that_keeps_the_prompt_is_taken(self) -> None:
         for tracker in (self.first, self.second):
             parts = make_request(9000).head.prompt.shared_parts
-            tracker.memory.use("m/1", parts)
+            tracker.memory.record_use("m/1", parts)
             self.assertIs(self.choose(9000).tracker, tracker)
             tracker.memory.clear()
 
--- a/libs/serving/ruddersaddle_serving/tests/test_trackers.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_trackers.py
@@ -32,7 +32,7 @@
         trackers.apply_route_table(make_table(1000))
         tracker = trackers.get_or_create(make_entry("e-1"))
         tracker.apply_notice("host", Notice(tracker.id, 1, Progress.SENT, ASSIGNMENT))
-        self.assertEqual(tracker.memory.leading_tokens("m/1", PARTS), 100)
+        self.assertEqual(tracker.memory.cached_prefix_tokens("m/1", PARTS), 100)
 
     def test_new_configuration_changes_the_memory_of_known_engines(self) -> None:
         trackers = Trackers()
--- a/libs/serving/ruddersaddle_serving/trackers.py
+++ b/libs/serving/ruddersaddle_serving/trackers.py
@@ -233,7 +233,7 @@
                     self._add_load(number, notice.assignment)
             case Progress.FIRST_EVENT:
                 self.liveness.record_response(now)
-                self.load.note_first(number)
+                self.load.record_first_event(number)
             case Progress.ENDED:
                 self._record_reachability(number, notice.reachability, now)
                 self.load.end(number)
@@ -247,7 +247,7 @@
                 self.apply_limit(notice.limit, host, is_first_hand=True)
 
     def _add_load(self, number: tuple[str, int], assignment: Assignment) -> None:
-        self.memory.use(assignment.salt, assignment.parts)
+        self.memory.record_use(assignment.salt, assignment.parts)
         self.load.add(
             number,
             assignment.priority,
--- a/libs/serving/ruddersaddle_serving/weighings.py
+++ b/libs/serving/ruddersaddle_serving/weighings.py
@@ -6,8 +6,8 @@
 from ruddersaddle_base.ids import HallId, ModelId
 
 from ruddersaddle_serving.admissions import (
-    Room,
-    Standing,
+    Backlog,
+    Capacity,
     admission_wait_s,
     excess_s,
     predict_wait_s,
@@ -29,9 +29,9 @@
     """Wait for what is as urgent as the request."""
     admission_wait_s: float
     """The same as it decides: longer where the request would take what is kept for others."""
-    standing: Standing
+    backlog: Backlog
     """What stands at the engine for what is as urgent."""
-    room: Room
+    capacity: Capacity
     fetch_s: float
     prefill_s: float
     """Nominal time that the engine reads until the first event."""
@@ -60,11 +60,11 @@
         `share` is the part that is counted of what the request needs: reading, fetching and memory.
         """
         tokens = round(self.tokens * share)
-        wait_s = admission_wait_s(self.standing, self.room, tokens, request.priority)
+        wait_s = admission_wait_s(self.backlog, self.capacity, tokens, request.priority)
         first_s = (
             wait_s + self.overhead_s + share * (self.fetch_s + self.prefill_s * self.prefill_factor)
         )
-        memory_share = tokens / max(1, self.room.tokens)
+        memory_share = tokens / max(1, self.capacity.tokens)
         return excess_s(first_s, wait_s, request.route.target_latency_s, memory_share)
 
     def note(self) -> str:
@@ -105,22 +105,22 @@
         salt = self._salt(prompt.model, version)
         if salt not in self.holders_by_salt:
             self.holders_by_salt[salt] = self.kept.find_holders(salt, prompt)
-        covered = tracker.memory.leading_tokens(salt, prompt.shared_parts)
+        covered = tracker.memory.cached_prefix_tokens(salt, prompt.shared_parts)
         fetched, fetch_s = _add_fetched(
             prompt, covered, self.holders_by_salt[salt], tracker.entry.hall
         )
         missing = max(0, prompt.tokens_in - covered - fetched)
         tokens = prompt.tokens
-        room = Room(tracker.entry.slots, tracker.memory.capacity_tokens)
-        standing = tracker.load.standing(priority)
+        capacity = Capacity(tracker.entry.slots, tracker.memory.capacity_tokens)
+        backlog = tracker.load.backlog(priority)
         return Estimate(
             tracker=tracker,
             version=version,
             salt=salt,
-            wait_s=predict_wait_s(standing, room, tokens),
-            admission_wait_s=admission_wait_s(standing, room, tokens, priority),
-            standing=standing,
-            room=room,
+            wait_s=predict_wait_s(backlog, capacity, tokens),
+            admission_wait_s=admission_wait_s(backlog, capacity, tokens, priority),
+            backlog=backlog,
+            capacity=capacity,
             fetch_s=fetch_s,
             prefill_s=nominal_prefill_s(missing),
             prefill_factor=tracker.load.service_time.factor,
