--- a/libs/serving/ruddersaddle_serving/entry_hosts.py
+++ b/libs/serving/ruddersaddle_serving/entry_hosts.py
@@ -211,7 +211,7 @@
             self.kept,
             self.crash_records,
         )
-        self.forwarder.placement.belief_lag_s = lambda: self.neighbours.loads.lag_s
+        self.forwarder.placement.view_lag_s = lambda: self.neighbours.loads.lag_s
         self.probes = Probes(self.neighbours.hosts, self.trackers, self.engines, self._tell_notice)
         self.parts = PartRelay(self.kept, self.neighbours)
         lease_s = settings.number("bounds.lease_ms") / MS_PER_S
--- a/libs/serving/ruddersaddle_serving/forwarders.py
+++ b/libs/serving/ruddersaddle_serving/forwarders.py
@@ -145,9 +145,9 @@
         """Return a refusal of an upstream with when the first of its pool takes requests again."""
         if failure.step is not Step.SEND or failure.code is not Code.OVERLOADED:
             return failure
-        rested_in_s = self.forwarder.placement.rested_in_s(self.pool)
+        backoff_remaining_s = self.forwarder.placement.backoff_remaining_s(self.pool)
         return msgspec.structs.replace(
-            failure, retry_after_s=max(failure.retry_after_s, rested_in_s)
+            failure, retry_after_s=max(failure.retry_after_s, backoff_remaining_s)
         )
 
     def _without_promise(self, failure: Failure) -> Failure:
@@ -178,7 +178,7 @@
             failure = self.attempt.connect()
             word = "no connection"
             if failure is None:
-                failure = forwarder.placement.check_open(choice.tracker)
+                failure = forwarder.placement.check_available(choice.tracker)
                 if failure is None:
                     return self._send()
                 word = failure.detail
--- a/libs/serving/ruddersaddle_serving/placements.py
+++ b/libs/serving/ruddersaddle_serving/placements.py
@@ -18,16 +18,16 @@
 from ruddersaddle_serving.trackers import Assignment, Tracker, Trackers
 from ruddersaddle_serving.upstream_lists import UpstreamList
 from ruddersaddle_serving.upstream_shares import UpstreamShares
-from ruddersaddle_serving.weighings import Estimate, Weighing
+from ruddersaddle_serving.weighings import CostEstimator, Estimate
 
 CANDIDATES_MAX = 8
 """Engines that are weighed for a prompt; choosing costs 9 us an engine. Which ones follows from
 what prompts share, so that few engines keep it."""
-RANKS_MAX = 1000
+CACHED_RANKINGS_MAX = 1000
 """Affinities whose ranks of engines are kept."""
-OVERFLOW_SAMPLE = 2
+OVERFLOW_SAMPLE_SIZE = 2
 """Engines that are drawn where all candidates make a request wait too long."""
-ALIKE_SHARE = 0.2
+TIE_SHARE = 0.2
 """Engines whose first events differ by less than the age of beliefs, and than this share of the
 target, are alike; one with an open connection is drawn. With 195 hosts and beliefs of 0.1 s the
 earliest engine each time had 4,440 connections opened in 9 s, this 3,300; of the worth asked for
@@ -94,7 +94,7 @@
         self.trackers = trackers
         self.kept = kept
         self.shares = shares
-        self.belief_lag_s: Callable[[], float] = lambda: 0.0
+        self.view_lag_s: Callable[[], float] = lambda: 0.0
         """How old what this host knows of others' requests is, in seconds."""
         self.admitted_sizes = SizesByRoute()
         self._ranked_by_key: dict[tuple[PoolId, str], list[UpstreamId]] = {}
@@ -121,22 +121,22 @@
         `may_refuse` says that the request has just come, so that it may be refused for the time
         that its first event would take.
         """
-        trackers = self._served_trackers(pool)
+        trackers = self._servable_trackers(pool)
         if isinstance(trackers, Failure):
             return trackers
-        left = [tracker for tracker in trackers if tracker.id not in excluded]
+        untried = [tracker for tracker in trackers if tracker.id not in excluded]
         prompt = request.head.prompt
         if prompt is None:
-            open_trackers = [tracker for tracker in left if self._is_open(tracker)]
-            if not open_trackers:
-                return self._refuse_closed(pool, trackers, left)
-            return self._choose_plain(request, open_trackers)
-        candidates = self.find_candidates(prompt, pool, trackers, left)
+            available = [tracker for tracker in untried if self._is_available(tracker)]
+            if not available:
+                return self._refuse_unavailable(pool, trackers, untried)
+            return self._choose_plain(request, available)
+        candidates = self.find_candidates(prompt, pool, trackers, untried)
         if isinstance(candidates, Failure):
             return candidates
         return self._choose_engine(request, prompt, candidates, may_refuse)
 
-    def _served_trackers(self, pool: PoolId) -> list[Tracker] | Failure:
+    def _servable_trackers(self, pool: PoolId) -> list[Tracker] | Failure:
         """Return the upstreams of a pool in halls that aren't evacuated, or why there is none."""
         entries = self.upstreams.of_pool(pool)
         evacuations = self.publications.evacuations
@@ -151,20 +151,22 @@
             )
         return [self.trackers.get_or_create(entry) for entry in served]
 
-    def _is_open(self, tracker: Tracker) -> bool:
+    def _is_available(self, tracker: Tracker) -> bool:
         """Return whether this host may send a request to an upstream now."""
         return tracker.reported.rest_s <= 0 and self.shares.may_send(tracker)
 
-    def _refuse_closed(self, pool: PoolId, trackers: list[Tracker], left: list[Tracker]) -> Failure:
+    def _refuse_unavailable(
+        self, pool: PoolId, trackers: list[Tracker], untried: list[Tracker]
+    ) -> Failure:
         """Refuse, since nothing may be sent to any of the upstreams that are `left`."""
-        awake = [tracker for tracker in left if tracker.reported.rest_s <= 0]
-        limited = sum(tracker.reported.rate_limit.bound_per_s() is not None for tracker in awake)
+        ready = [tracker for tracker in untried if tracker.reported.rest_s <= 0]
+        limited = sum(tracker.reported.rate_limit.bound_per_s() is not None for tracker in ready)
         counts = {
             "upstreams": len(trackers),
-            "tried": len(trackers) - len(left),
-            "resting": len(left) - len(awake),
+            "tried": len(trackers) - len(untried),
+            "resting": len(untried) - len(ready),
             "at their limit": limited,
-            "cold": len(awake) - limited,
+            "cold": len(ready) - limited,
         }
         detail = ", ".join(f"{count} {word}" for word, count in counts.items() if count)
         return Failure(
@@ -172,16 +174,16 @@
             Step.ADMIT,
             pool,
             detail,
-            retry_after_s=_rested_in_s(trackers) or RETRY_SOON_S,
+            retry_after_s=_backoff_remaining_s(trackers) or RETRY_SOON_S,
         )
 
-    def rested_in_s(self, pool: PoolId) -> float:
+    def backoff_remaining_s(self, pool: PoolId) -> float:
         """Return in how many seconds the first upstream of a pool has rested; 0 if one is awake."""
-        return _rested_in_s(
+        return _backoff_remaining_s(
             [self.trackers.get_or_create(each) for each in self.upstreams.of_pool(pool)]
         )
 
-    def check_open(self, tracker: Tracker) -> Failure | None:
+    def check_available(self, tracker: Tracker) -> Failure | None:
         """Return why a request may no longer be sent to an upstream that was chosen before."""
         hall = tracker.entry.hall
         if self.upstreams.is_leaving(tracker.entry.start):
@@ -198,61 +200,61 @@
 
     def _choose_plain(self, request: CallerRequest, trackers: list[Tracker]) -> Choice:
         usable = [tracker for tracker in trackers if tracker.is_healthy] or trackers
-        chosen = min(usable, key=self._plain_order)
+        chosen = min(usable, key=self._plain_sort_key)
         first_s = request.route.target_latency_s
         return Choice(chosen, None, None, len(usable), first_s=first_s)
 
-    def _plain_order(self, tracker: Tracker) -> tuple[float, bool, float]:
+    def _plain_sort_key(self, tracker: Tracker) -> tuple[float, bool, float]:
         share = tracker.in_flight / max(1, tracker.entry.slots)
         return share, tracker.entry.hall != self.hall, random.random()
 
     def find_candidates(
-        self, prompt: Prompt, pool: PoolId, trackers: list[Tracker], left: list[Tracker]
+        self, prompt: Prompt, pool: PoolId, trackers: list[Tracker], untried: list[Tracker]
     ) -> Candidates | Failure:
         """Return the engines that may take a prompt, or why there is none.
 
         Engines are looked at in the order of the prompt's affinity, until there are enough.
         """
-        ranked = self._rank(prompt.affinity_key, pool, left)
+        ranked = self._rank(prompt.affinity_key, pool, untried)
         usable = (tracker for tracker in ranked if self._is_usable(prompt, tracker))
         first = list(islice(usable, CANDIDATES_MAX))
         if len(first) == CANDIDATES_MAX:
             return Candidates(first, usable)
-        return self._find_among_all(prompt, pool, trackers, ranked)
+        return self._find_fallback_candidates(prompt, pool, trackers, ranked)
 
     def _is_usable(self, prompt: Prompt, tracker: Tracker) -> bool:
         """Return whether an engine may take a prompt and is likely to serve it."""
         return (
-            self._is_open(tracker)
+            self._is_available(tracker)
             and self._has_allowed_weights(prompt.model, tracker)
             and _may_fit(prompt, tracker)
             and tracker.is_healthy
             and not tracker.is_avoided
         )
 
-    def _find_among_all(
+    def _find_fallback_candidates(
         self, prompt: Prompt, pool: PoolId, trackers: list[Tracker], ranked: list[Tracker]
     ) -> Candidates | Failure:
         """Return the engines that may take a prompt where few are likely to serve it."""
-        open_trackers = [tracker for tracker in ranked if self._is_open(tracker)]
-        if not open_trackers:
-            return self._refuse_closed(pool, trackers, ranked)
-        allowed = [each for each in open_trackers if self._has_allowed_weights(prompt.model, each)]
+        available = [tracker for tracker in ranked if self._is_available(tracker)]
+        if not available:
+            return self._refuse_unavailable(pool, trackers, ranked)
+        allowed = [each for each in available if self._has_allowed_weights(prompt.model, each)]
         if not allowed:
             detail = f"no engine has the newest weights of {prompt.model}"
             return Failure(Code.OTHER_VERSION, Step.ADMIT, pool, detail, retry_after_s=RETRY_SOON_S)
-        roomy = [tracker for tracker in allowed if _may_fit(prompt, tracker)]
-        if not roomy:
+        large_enough = [tracker for tracker in allowed if _may_fit(prompt, tracker)]
+        if not large_enough:
             return _refuse_size(prompt, allowed)
-        sound = [tracker for tracker in roomy if tracker.is_healthy] or roomy
-        usable = [tracker for tracker in sound if not tracker.is_avoided] or sound
+        healthy = [tracker for tracker in large_enough if tracker.is_healthy] or large_enough
+        usable = [tracker for tracker in healthy if not tracker.is_avoided] or healthy
         return Candidates(usable[:CANDIDATES_MAX], iter(usable[CANDIDATES_MAX:]))
 
     def _rank(self, affinity_key: str, pool: PoolId, trackers: list[Tracker]) -> list[Tracker]:
         """Return engines of a pool by a prompt's affinity; ranks are kept until entries change."""
         if (
             self._ranked_revision != self.upstreams.revision
-            or len(self._ranked_by_key) >= RANKS_MAX
+            or len(self._ranked_by_key) >= CACHED_RANKINGS_MAX
         ):
             self._ranked_revision = self.upstreams.revision
             self._ranked_by_key.clear()
@@ -266,12 +268,12 @@
     def _choose_engine(
         self, request: CallerRequest, prompt: Prompt, candidates: Candidates, may_refuse: bool
     ) -> Choice | Failure:
-        weighing = Weighing(request, prompt, self.kept)
-        margin_s = min(self.belief_lag_s(), ALIKE_SHARE * request.route.target_latency_s)
-        best = weighing.weigh(candidates.first, margin_s)
-        if self._excess_s(request, best) > 0:
-            best = self._weigh_others(request, weighing, best, list(candidates.others))
-        if may_refuse and self._excess_s(request, best) > 0:
+        estimator = CostEstimator(request, prompt, self.kept)
+        margin_s = min(self.view_lag_s(), TIE_SHARE * request.route.target_latency_s)
+        best = estimator.pick_earliest(candidates.first, margin_s)
+        if self._admission_excess_s(request, best) > 0:
+            best = self._consider_others(request, estimator, best, list(candidates.others))
+        if may_refuse and self._admission_excess_s(request, best) > 0:
             return self._refuse(request, best)
         if may_refuse:
             self.admitted_sizes.take(request.route.name, best.tokens)
@@ -280,7 +282,7 @@
         transfer = self.kept.plan(
             best.salt,
             prompt,
-            weighing.holders_by_salt[best.salt],
+            estimator.holders_by_salt[best.salt],
             hall,
             best.covered_tokens,
             is_newest,
@@ -303,11 +305,15 @@
             best.wait_s,
             best.covered_tokens,
             best.missing_tokens,
-            tuple(each.note() for each in weighing.estimates),
+            tuple(each.summary() for each in estimator.estimates),
         )
 
-    def _weigh_others(
-        self, request: CallerRequest, weighing: Weighing, best: Estimate, others: list[Tracker]
+    def _consider_others(
+        self,
+        request: CallerRequest,
+        estimator: CostEstimator,
+        best: Estimate,
+        others: list[Tracker],
     ) -> Estimate:
         """Return the best of all engines, where the first candidates make a request wait too long.
 
@@ -316,13 +322,13 @@
         """
         if not others:
             return best
-        for group in (random.sample(others, min(OVERFLOW_SAMPLE, len(others))), others):
-            best = weighing.weigh([best.tracker, *group])
-            if self._excess_s(request, best) <= 0:
+        for group in (random.sample(others, min(OVERFLOW_SAMPLE_SIZE, len(others))), others):
+            best = estimator.pick_earliest([best.tracker, *group])
+            if self._admission_excess_s(request, best) <= 0:
                 break
         return best
 
-    def _excess_s(self, request: CallerRequest, best: Estimate) -> float:
+    def _admission_excess_s(self, request: CallerRequest, best: Estimate) -> float:
         """Return how much too late the first event would come; at most 0 if it is let in.
 
         A request that is drawn is judged as if it needed what those let in lately need: as load
@@ -343,7 +349,7 @@
             f"{best.missing_tokens} tokens, the target {target_s} s; {best.tokens} tokens of memory"
         )
         spread_s = RETRY_SOON_S * (0.5 + random.random())
-        retry_after_s = self._excess_s(request, best) + spread_s
+        retry_after_s = self._admission_excess_s(request, best) + spread_s
         pool = best.tracker.entry.pool
         return Failure(Code.OVERLOADED, Step.ADMIT, pool, detail, retry_after_s=retry_after_s)
 
@@ -354,7 +360,7 @@
         return not self.publications.is_replaced_for(model, version, bound_s)
 
 
-def _rested_in_s(trackers: list[Tracker]) -> float:
+def _backoff_remaining_s(trackers: list[Tracker]) -> float:
     """Return in how many seconds the first of some upstreams has rested; 0 if one is awake.
 
     Callers come back spread out, so that it isn't run over at once.
--- a/libs/serving/ruddersaddle_serving/tests/load_replays.py
+++ b/libs/serving/ruddersaddle_serving/tests/load_replays.py
@@ -188,7 +188,7 @@
         hall = exchange.hosts.own.hall
         cold = UpstreamShares(exchange.hosts, publications, upstreams)
         self.placement = Placement(hall, 12.0, publications, upstreams, trackers, kept, cold)
-        self.placement.belief_lag_s = lambda: exchange.lag_s
+        self.placement.view_lag_s = lambda: exchange.lag_s
         engines = mock.Mock()
         engines.presence.side_effect = lambda _, start: replay.presence(start.id)
         self.probes = Probes(exchange.hosts, trackers, engines, exchange.broadcast)
--- a/libs/serving/ruddersaddle_serving/tests/test_placements.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_placements.py
@@ -286,7 +286,7 @@
         self.assertIs(self.choose().tracker, self.first)
         self.placement.shares.note_sent(self.first)
         self.assertIs(self.choose().tracker, self.second)
-        self.assertIn("limited", self.placement.check_open(self.first).detail)
+        self.assertIn("limited", self.placement.check_available(self.first).detail)
         for tracker in (self.first, self.second):
             tracker.reported.rate_limit.take(LimitNews(0.0, False, RequestId("q")))
             self.placement.shares.note_sent(tracker)
@@ -296,7 +296,7 @@
         self.first.reported.rest(3.0)
         self.fill(self.second, CAPACITY)
         self.assertIs(self.choose().tracker, self.second)
-        self.assertIn("rest", self.placement.check_open(self.first).detail)
+        self.assertIn("rest", self.placement.check_available(self.first).detail)
         self.second.reported.rest(5.0)
         self.now += 1.0
         refusal = self.choose()
@@ -318,15 +318,15 @@
         self.assertGreater(refusal.retry_after_s, 0)
 
     def test_what_was_chosen_is_looked_at_again_when_it_is_sent(self) -> None:
-        self.assertIsNone(self.placement.check_open(self.first))
+        self.assertIsNone(self.placement.check_available(self.first))
         self.turn_cold(self.first)
         for _ in range(2):
             self.placement.shares.note_sent(self.first)
-        self.assertEqual(self.placement.check_open(self.first).ran, Ran.NOT_RUN)
+        self.assertEqual(self.placement.check_available(self.first).ran, Ran.NOT_RUN)
         self.evacuate("h")
-        self.assertIn("evacuated", self.placement.check_open(self.second).detail)
+        self.assertIn("evacuated", self.placement.check_available(self.second).detail)
         self.upstreams.note_leaving(self.second.entry.start, RequestId("q"), "host")
-        self.assertIn("leaves", self.placement.check_open(self.second).detail)
+        self.assertIn("leaves", self.placement.check_available(self.second).detail)
 
 
 if __name__ == "__main__":
--- a/libs/serving/ruddersaddle_serving/weighings.py
+++ b/libs/serving/ruddersaddle_serving/weighings.py
@@ -67,13 +67,13 @@
         memory_share = tokens / max(1, self.capacity.tokens)
         return excess_s(first_s, wait_s, request.route.target_latency_s, memory_share)
 
-    def note(self) -> str:
+    def summary(self) -> str:
         """Return the engine, its predicted time and wait in ms, and the tokens it has to read."""
         first_ms, wait_ms = round(self.first_s * 1000), round(self.wait_s * 1000)
         return f"{self.tracker.id} {first_ms} {wait_ms} {self.missing_tokens}"
 
 
-class Weighing:
+class CostEstimator:
     """Estimates of one prompt; stores are looked through once for each salt."""
 
     def __init__(self, request: CallerRequest, prompt: Prompt, kept: KeptParts) -> None:
@@ -83,7 +83,7 @@
         self.estimates: list[Estimate] = []
         self.holders_by_salt: dict[str, list[KeptStore | None]] = {}
 
-    def weigh(self, trackers: list[Tracker], margin_s: float = 0.0) -> Estimate:
+    def pick_earliest(self, trackers: list[Tracker], margin_s: float = 0.0) -> Estimate:
         """Return the estimate that admission finds earliest; of equal ones the first tracker's.
 
         What is later by less than `margin_s` is as good: of these one is drawn to which a
@@ -94,9 +94,9 @@
         best = min(estimates, key=lambda each: each.admission_s)
         if margin_s <= 0:
             return best
-        alike = [each for each in estimates if each.admission_s <= best.admission_s + margin_s]
-        connected = [each for each in alike if each.tracker.connections.has_idle]
-        return random.choice(connected or alike)
+        tied = [each for each in estimates if each.admission_s <= best.admission_s + margin_s]
+        connected = [each for each in tied if each.tracker.connections.has_idle]
+        return random.choice(connected or tied)
 
     def _estimate(self, tracker: Tracker) -> Estimate:
         prompt = self.prompt
@@ -106,7 +106,7 @@
         if salt not in self.holders_by_salt:
             self.holders_by_salt[salt] = self.kept.find_holders(salt, prompt)
         covered = tracker.memory.cached_prefix_tokens(salt, prompt.shared_parts)
-        fetched, fetch_s = _add_fetched(
+        fetched, fetch_s = _fetchable_parts(
             prompt, covered, self.holders_by_salt[salt], tracker.entry.hall
         )
         missing = max(0, prompt.tokens_in - covered - fetched)
@@ -137,7 +137,7 @@
         return make_salt(model, version or 0, wall)
 
 
-def _add_fetched(
+def _fetchable_parts(
     prompt: Prompt, covered: int, holders: list[KeptStore | None], hall: HallId
 ) -> tuple[int, float]:
     """Return the tokens of the parts after the covered ones that can be fetched, and the time."""
