--- a/libs/serving/ruddersaddle_serving/fronts.py
+++ b/libs/serving/ruddersaddle_serving/fronts.py
@@ -127,7 +127,7 @@
             self.request = request
             prompt = request.head.prompt
             if prompt is not None:
-                self.size_band = self.front.sizes.take(request.route.name, prompt.tokens)
+                self.size_band = self.front.sizes.record(request.route.name, prompt.tokens)
             return self._forward(request)
         except CallerLeftError:
             return self._end_with(self._refuse(self._caller_left()), "caller left")
@@ -330,7 +330,7 @@
         front.count(f"answers_{self.status or 'none'}")
         count_end(front.ends, word)
         if self.size_band is not None:
-            front.sizes.count(self.request.route.name, self.size_band, self._size_end(word))
+            front.sizes.count_end(self.request.route.name, self.size_band, self._size_end(word))
         total_s = clocks.now_s() - self.began
         fields: dict[str, Any] = {
             "status": self.status,
--- a/libs/serving/ruddersaddle_serving/placements.py
+++ b/libs/serving/ruddersaddle_serving/placements.py
@@ -276,7 +276,7 @@
         if may_refuse and self._admission_excess_s(request, best) > 0:
             return self._refuse(request, best)
         if may_refuse:
-            self.admitted_sizes.take(request.route.name, best.tokens)
+            self.admitted_sizes.record(request.route.name, best.tokens)
         hall = best.tracker.entry.hall
         is_newest = not self.publications.replaced_at_least_s(prompt.model, best.version or 0)
         transfer = self.kept.plan(
@@ -337,7 +337,7 @@
         own_s = best.excess_s(request)
         if own_s <= 0 or not request.is_judged_as_common:
             return own_s
-        share = self.admitted_sizes.common_share(request.route.name, best.tokens)
+        share = self.admitted_sizes.median_share(request.route.name, best.tokens)
         return best.excess_s(request, share)
 
     def _refuse(self, request: CallerRequest, best: Estimate) -> Failure:
--- a/libs/serving/ruddersaddle_serving/request_sizes.py
+++ b/libs/serving/ruddersaddle_serving/request_sizes.py
@@ -25,14 +25,18 @@
 class SizeBand(Enum):
     """Where a size stands among those of its route, from the smallest up."""
 
-    HALF = "smallest_half"
+    SMALLEST_HALF = "smallest_half"
     MIDDLE = "middle"
     """The fifth above the smallest half."""
-    FIFTH = "fifth_below_largest"
-    TENTH = "largest_tenth"
+    FIFTH_BELOW_LARGEST = "fifth_below_largest"
+    LARGEST_TENTH = "largest_tenth"
 
 
-BOUNDS = ((0.9, SizeBand.TENTH), (0.7, SizeBand.FIFTH), (0.5, SizeBand.MIDDLE))
+BAND_BOUNDS = (
+    (0.9, SizeBand.LARGEST_TENTH),
+    (0.7, SizeBand.FIFTH_BELOW_LARGEST),
+    (0.5, SizeBand.MIDDLE),
+)
 """Share of the sizes that are smaller, from which on a size is in a band."""
 
 
@@ -40,29 +44,29 @@
     """The sizes of the last requests of one route, in order of arrival and of size."""
 
     def __init__(self) -> None:
-        self._arrived: deque[int] = deque()
-        self._ordered: list[int] = []
+        self._by_arrival: deque[int] = deque()
+        self._by_size: list[int] = []
 
-    def take(self, tokens: int) -> SizeBand:
+    def record(self, tokens: int) -> SizeBand:
         """Take the size of a request; return where it stands among those before it."""
         band = self._band(tokens)
-        insort(self._ordered, tokens)
-        self._arrived.append(tokens)
-        if len(self._arrived) > RECENT_SIZES:
-            del self._ordered[bisect_left(self._ordered, self._arrived.popleft())]
+        insort(self._by_size, tokens)
+        self._by_arrival.append(tokens)
+        if len(self._by_arrival) > RECENT_SIZES:
+            del self._by_size[bisect_left(self._by_size, self._by_arrival.popleft())]
         return band
 
     @property
     def median(self) -> int:
         """The middle one of the sizes; at least one has come."""
-        return self._ordered[len(self._ordered) // 2]
+        return self._by_size[len(self._by_size) // 2]
 
     def _band(self, tokens: int) -> SizeBand:
-        smaller = bisect_left(self._ordered, tokens)
-        for share, band in BOUNDS:
-            if self._ordered and smaller >= share * len(self._ordered):
+        smaller = bisect_left(self._by_size, tokens)
+        for share, band in BAND_BOUNDS:
+            if self._by_size and smaller >= share * len(self._by_size):
                 return band
-        return SizeBand.HALF
+        return SizeBand.SMALLEST_HALF
 
 
 class SizesByRoute:
@@ -71,11 +75,11 @@
     def __init__(self) -> None:
         self._by_route: OrderedDict[RouteName, RecentSizes] = OrderedDict()
 
-    def take(self, route: RouteName, tokens: int) -> SizeBand:
+    def record(self, route: RouteName, tokens: int) -> SizeBand:
         """Take the size of a request; return where it stands among those of its route before it."""
-        return _use(self._by_route, route, RecentSizes).take(tokens)
+        return _get_or_create(self._by_route, route, RecentSizes).record(tokens)
 
-    def common_share(self, route: RouteName, tokens: int) -> float:
+    def median_share(self, route: RouteName, tokens: int) -> float:
         """Return what part of this size a common one of its route is; 1 where it is no larger."""
         recent = self._by_route.get(route)
         return 1.0 if recent is None else min(1.0, recent.median / max(1, tokens))
@@ -86,26 +90,30 @@
 
     def __init__(self) -> None:
         self._sizes = SizesByRoute()
-        self._ends_by_route: OrderedDict[RouteName, Counter[tuple[SizeBand, str]]] = OrderedDict()
+        self._end_counts_by_route: OrderedDict[RouteName, Counter[tuple[SizeBand, str]]] = (
+            OrderedDict()
+        )
 
-    def take(self, route: RouteName, tokens: int) -> SizeBand:
+    def record(self, route: RouteName, tokens: int) -> SizeBand:
         """Take that a request of this size came; return where its size stands."""
-        return self._sizes.take(route, tokens)
+        return self._sizes.record(route, tokens)
 
-    def count(self, route: RouteName, band: SizeBand, end: str) -> None:
+    def count_end(self, route: RouteName, band: SizeBand, end: str) -> None:
         """Count how a request ended: served, or by what cause it was not."""
-        _use(self._ends_by_route, route, Counter)[band, end] += 1
+        _get_or_create(self._end_counts_by_route, route, Counter)[band, end] += 1
 
     def rows(self) -> list[tuple[Labels, int]]:
         """Return the counts with their labels, for the metrics page."""
         return [
             ({"route": route, "size": band.value, "end": end}, count)
-            for route, ends in self._ends_by_route.items()
+            for route, ends in self._end_counts_by_route.items()
             for (band, end), count in ends.items()
         ]
 
 
-def _use(by_route: OrderedDict[RouteName, T], route: RouteName, make: Callable[[], T]) -> T:
+def _get_or_create(
+    by_route: OrderedDict[RouteName, T], route: RouteName, make: Callable[[], T]
+) -> T:
     """Return what is kept of a route, made if it is new; the routes used last are kept."""
     if route not in by_route:
         by_route[route] = make()
--- a/libs/serving/ruddersaddle_serving/tests/test_request_sizes.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_request_sizes.py
@@ -23,31 +23,31 @@
             draw = random.Random(median)
             recent = RecentSizes()
             sizes = [round(draw.lognormvariate(0, 0.7) * median) for _ in range(2000)]
-            bands = Counter(recent.take(size) for size in sizes)
-            self.assertAlmostEqual(bands[SizeBand.TENTH] / 2000, 0.1, delta=0.03)
-            self.assertAlmostEqual(bands[SizeBand.FIFTH] / 2000, 0.2, delta=0.03)
-            self.assertAlmostEqual(bands[SizeBand.HALF] / 2000, 0.5, delta=0.05)
+            bands = Counter(recent.record(size) for size in sizes)
+            self.assertAlmostEqual(bands[SizeBand.LARGEST_TENTH] / 2000, 0.1, delta=0.03)
+            self.assertAlmostEqual(bands[SizeBand.FIFTH_BELOW_LARGEST] / 2000, 0.2, delta=0.03)
+            self.assertAlmostEqual(bands[SizeBand.SMALLEST_HALF] / 2000, 0.5, delta=0.05)
 
     def test_equal_sizes_are_none_of_them_large(self) -> None:
         recent = RecentSizes()
-        self.assertEqual({recent.take(500) for _ in range(50)}, {SizeBand.HALF})
+        self.assertEqual({recent.record(500) for _ in range(50)}, {SizeBand.SMALLEST_HALF})
 
     def test_what_is_large_follows_what_came_lately(self) -> None:
         recent = RecentSizes()
         for size in range(RECENT_SIZES):
-            recent.take(size)
-        self.assertIs(recent.take(190), SizeBand.TENTH)
+            recent.record(size)
+        self.assertIs(recent.record(190), SizeBand.LARGEST_TENTH)
         for size in range(RECENT_SIZES):
-            recent.take(10 * size)
-        self.assertIs(recent.take(190), SizeBand.HALF)
+            recent.record(10 * size)
+        self.assertIs(recent.record(190), SizeBand.SMALLEST_HALF)
 
 
 class SizeCountsTest(unittest.TestCase):
     def test_metrics_tell_ends_by_route_and_size(self) -> None:
         counts = SizeCounts()
         for _ in range(2):
-            counts.count(ROUTE, counts.take(ROUTE, 500), "served")
-        counts.count(ROUTE, counts.take(ROUTE, 9000), "overloaded")
+            counts.count_end(ROUTE, counts.record(ROUTE, 500), "served")
+        counts.count_end(ROUTE, counts.record(ROUTE, 9000), "overloaded")
         lines = format_labelled("requests_by_size", "prompts by size and end", counts.rows())
         name = "ruddersaddle_requests_by_size_total"
         self.assertEqual(
@@ -62,9 +62,9 @@
         counts = SizeCounts()
         for number in range(ROUTES_MAX + 5):
             route = RouteName(f"r-{number}")
-            counts.count(route, counts.take(route, 100), "served")
+            counts.count_end(route, counts.record(route, 100), "served")
         self.assertEqual(len(counts.rows()), ROUTES_MAX)
-        counts.count(RouteName("r-0"), SizeBand.HALF, "served")
+        counts.count_end(RouteName("r-0"), SizeBand.SMALLEST_HALF, "served")
         self.assertEqual(len(counts.rows()), ROUTES_MAX)
 
 
