--- a/libs/serving/ruddersaddle_serving/tests/crash_replays.py
+++ b/libs/serving/ruddersaddle_serving/tests/crash_replays.py
@@ -15,10 +15,10 @@
 from ruddersaddle_serving.tests.load_replays import (
     POOL,
     Replay,
+    ReplayCaller,
     ReplayConnections,
     ReplayEngine,
     ReplayHost,
-    Visit,
 )
 from ruddersaddle_serving.tests.replay_loads import Load
 from ruddersaddle_serving.trackers import Progress, Reachability
@@ -57,12 +57,12 @@
         self.cold_until = 0.0
         self.arrivals: deque[float] = deque()
 
-    def take(self, visit: "CrashVisit") -> None:
-        if self.dark or visit.born_ms != self.entry.born_ms:
+    def handle(self, visit: "CrashVisit") -> None:
+        if self.is_down or visit.born_ms != self.entry.born_ms:
             self.replay.after(REFUSED_S, visit.take_refusal)
             return
         self.visits.add(visit)
-        super().take(visit)
+        super().handle(visit)
         self._count_arrival()
 
     def _count_arrival(self) -> None:
@@ -79,10 +79,10 @@
 
     def crash(self) -> None:
         """End this start, and with it all that runs; the next one begins empty and cold."""
-        if self.dark:
+        if self.is_down:
             return
-        self.turn_dark()
-        self.kept.clear()
+        self.go_down()
+        self.cached.clear()
         self.arrivals.clear()
         broken, self.visits = self.visits, set()
         for visit in broken:
@@ -95,11 +95,11 @@
         born_ms = round(1000 * clocks.now_s())
         self.cold_until = clocks.now_s() + crashes.cold_s
         self.entry = msgspec.structs.replace(self.entry, born_ms=born_ms)
-        self.turn_light()
+        self.come_up()
         for number, host in enumerate(self.replay.hosts):
             is_cut_off = number < crashes.cut_off * len(self.replay.hosts)
             mean_s = crashes.cut_off_lag_s if is_cut_off else crashes.lag_s
-            lag_s = mean_s * (0.5 + self.replay.draw.random())
+            lag_s = mean_s * (0.5 + self.replay.rng.random())
             self.replay.after(lag_s, lambda host=host: self._tell(host))
 
     def _tell(self, host: ReplayHost) -> None:
@@ -113,7 +113,7 @@
         tracker.connections = ReplayConnections(host, entry.id)
 
 
-class CrashVisit(Visit):
+class CrashVisit(ReplayCaller):
     """A caller whose request may be cut by a crash; the host then tries another engine once."""
 
     def _send(self, choice: Choice) -> None:
@@ -124,25 +124,25 @@
         """Take that nothing ran at the engine; the host tries another one."""
         if self.ended:
             return
-        self._tell(Progress.REPLACED)
+        self._broadcast(Progress.REPLACED)
         self._try_another()
 
     def take_crash(self) -> None:
         """Take that the engine has ended; before its first event the request may run again."""
-        self._tell(Progress.ENDED, reachability=Reachability.NO_RESPONSE, failed=True)
+        self._broadcast(Progress.ENDED, reachability=Reachability.NO_RESPONSE, failed=True)
         if self.ended:
-            self.tally.broken += 1
-            if self.began in self.tally.in_time_at:
-                self.tally.in_time_at.remove(self.began)
+            self.tally.interrupted += 1
+            if self.started_at in self.tally.in_time_at:
+                self.tally.in_time_at.remove(self.started_at)
         else:
             self._try_another()
 
-    def take_end(self) -> None:
-        super().take_end()
+    def record_end(self) -> None:
+        super().record_end()
         self.replay.engine_by_id[self.upstream].visits.discard(self)
 
-    def _tell(self, progress: Progress, **fields: object) -> None:
-        super()._tell(progress, born_ms=self.born_ms, **fields)
+    def _broadcast(self, progress: Progress, **fields: object) -> None:
+        super()._broadcast(progress, born_ms=self.born_ms, **fields)
 
     def _try_another(self) -> None:
         self.number = 0
@@ -158,7 +158,7 @@
     """A load in which engines crash."""
 
     engine_class = CrashEngine
-    visit_class = CrashVisit
+    caller_class = CrashVisit
 
     def __init__(self, load: Load, crashes: Crashes) -> None:
         super().__init__(load)
@@ -177,5 +177,5 @@
             host.exchange.hosts.known_at = self.now - JOIN_S
         engines = list(self.engine_by_id.values())
         for moment in crashes.moments:
-            for engine in self.draw.sample(engines, round(crashes.share * len(engines))):
+            for engine in self.rng.sample(engines, round(crashes.share * len(engines))):
                 self.after(moment, engine.crash)
--- a/libs/serving/ruddersaddle_serving/tests/load_replays.py
+++ b/libs/serving/ruddersaddle_serving/tests/load_replays.py
@@ -49,7 +49,7 @@
 
 POOL = PoolId("p")
 MODEL = ModelId("m")
-PATIENCE_S = 2.4
+CALLER_TIMEOUT_S = 2.4
 """A caller leaves an engine that has sent nothing after this long."""
 
 
@@ -63,97 +63,97 @@
     def __init__(self, replay: "Replay", entry: UpstreamEntry) -> None:
         self.replay = replay
         self.entry = entry
-        self.dark = False
-        self.active: list[Visit] = []
-        self.reading: Visit | None = None
-        self.unread: list[Visit] = []
-        self.waiting: list[Visit] = []
-        self.kept: OrderedDict[str, int] = OrderedDict()
-
-    def take(self, visit: "Visit") -> None:
-        if not self.dark:
-            self.waiting.append(visit)
+        self.is_down = False
+        self.active: list[ReplayCaller] = []
+        self.prefilling: ReplayCaller | None = None
+        self.awaiting_prefill: list[ReplayCaller] = []
+        self.waiting: list[ReplayCaller] = []
+        self.cached: OrderedDict[str, int] = OrderedDict()
+
+    def handle(self, caller: "ReplayCaller") -> None:
+        if not self.is_down:
+            self.waiting.append(caller)
             self._admit()
 
     def _admit(self) -> None:
         load = self.replay.load
-        while self.waiting and not self.dark:
-            visit = min(self.waiting, key=lambda each: each.kind.priority)
-            if len(self.active) >= load.slots or not self._makes_room(visit):
+        while self.waiting and not self.is_down:
+            caller = min(self.waiting, key=lambda each: each.kind.priority)
+            if len(self.active) >= load.slots or not self._make_room(caller):
                 break
-            self.waiting.remove(visit)
-            self.active.append(visit)
-            self.unread.append(visit)
-        self._read_next()
+            self.waiting.remove(caller)
+            self.active.append(caller)
+            self.awaiting_prefill.append(caller)
+        self._prefill_next()
 
-    def _makes_room(self, visit: "Visit") -> bool:
-        taken = sum(each.kind.tokens for each in self.active)
+    def _make_room(self, caller: "ReplayCaller") -> bool:
+        used = sum(each.kind.tokens for each in self.active)
         capacity = self.replay.load.memory_tokens
-        others = [each for each in self.active if each.kind.priority > visit.kind.priority]
-        while taken + visit.kind.tokens > capacity and others:
+        others = [each for each in self.active if each.kind.priority > caller.kind.priority]
+        while used + caller.kind.tokens > capacity and others:
             least = max(others, key=lambda each: (each.kind.priority, each.number))
             others.remove(least)
-            taken -= least.kind.tokens
+            used -= least.kind.tokens
             self._preempt(least)
-        return taken + visit.kind.tokens <= capacity
-
-    def _preempt(self, visit: "Visit") -> None:
-        self.active.remove(visit)
-        visit.runs += 1
-        if visit in self.unread:
-            self.unread.remove(visit)
-        if self.reading is visit:
-            self.reading = None
-        visit.break_off()
-        self.waiting.append(visit)
-
-    def _read_next(self) -> None:
-        if self.dark or self.reading is not None or not self.unread:
+        return used + caller.kind.tokens <= capacity
+
+    def _preempt(self, caller: "ReplayCaller") -> None:
+        self.active.remove(caller)
+        caller.runs += 1
+        if caller in self.awaiting_prefill:
+            self.awaiting_prefill.remove(caller)
+        if self.prefilling is caller:
+            self.prefilling = None
+        caller.record_preemption()
+        self.waiting.append(caller)
+
+    def _prefill_next(self) -> None:
+        if self.is_down or self.prefilling is not None or not self.awaiting_prefill:
             return
-        visit = min(self.unread, key=lambda each: each.kind.priority)
-        self.unread.remove(visit)
-        self.reading = visit
-        missing = visit.kind.own_tokens + self._read_shared(visit)
-        run = visit.runs
-        reading_s = missing / self.replay.load.tokens_s
-        self.replay.after(reading_s, lambda: self._end_reading(visit, run))
-
-    def _read_shared(self, visit: "Visit") -> int:
-        is_kept = visit.subject in self.kept
-        self.kept[visit.subject] = visit.kind.shared_tokens
-        self.kept.move_to_end(visit.subject)
-        while sum(self.kept.values()) > self.replay.load.memory_tokens:
-            self.kept.popitem(last=False)
-        read = 0 if is_kept else visit.kind.shared_tokens
-        visit.tally.read_tokens += read
+        caller = min(self.awaiting_prefill, key=lambda each: each.kind.priority)
+        self.awaiting_prefill.remove(caller)
+        self.prefilling = caller
+        missing = caller.kind.own_tokens + self._prefill_shared(caller)
+        run = caller.runs
+        prefill_s = missing / self.replay.load.tokens_s
+        self.replay.after(prefill_s, lambda: self._end_prefill(caller, run))
+
+    def _prefill_shared(self, caller: "ReplayCaller") -> int:
+        is_cached = caller.shared_part in self.cached
+        self.cached[caller.shared_part] = caller.kind.shared_tokens
+        self.cached.move_to_end(caller.shared_part)
+        while sum(self.cached.values()) > self.replay.load.memory_tokens:
+            self.cached.popitem(last=False)
+        read = 0 if is_cached else caller.kind.shared_tokens
+        caller.tally.prefilled_tokens += read
         return read
 
-    def _end_reading(self, visit: "Visit", run: int) -> None:
-        if self.dark or visit.runs != run:
+    def _end_prefill(self, caller: "ReplayCaller", run: int) -> None:
+        if self.is_down or caller.runs != run:
             return
-        self.reading = None
+        self.prefilling = None
         load = self.replay.load
-        self.replay.after(load.first_s, lambda: visit.take_first(run))
-        whole_s = load.first_s + visit.kind.tokens_out * load.step_s
-        self.replay.after(whole_s, lambda: self._end_run(visit, run))
-        self._read_next()
+        self.replay.after(load.first_s, lambda: caller.record_first_event(run))
+        run_s = load.first_s + caller.kind.tokens_out * load.step_s
+        self.replay.after(run_s, lambda: self._end_run(caller, run))
+        self._prefill_next()
 
-    def _end_run(self, visit: "Visit", run: int) -> None:
-        if self.dark or visit.runs != run:
+    def _end_run(self, caller: "ReplayCaller", run: int) -> None:
+        if self.is_down or caller.runs != run:
             return
-        self.active.remove(visit)
-        visit.take_end()
+        self.active.remove(caller)
+        caller.record_end()
         self._admit()
 
-    def turn_dark(self) -> None:
-        self.dark = True
+    def go_down(self) -> None:
+        self.is_down = True
         self.waiting.clear()
-        self.unread.clear()
+        self.awaiting_prefill.clear()
         self.active.clear()
-        self.reading = None
+        self.prefilling = None
 
-    def turn_light(self) -> None:
-        self.dark = False
+    def come_up(self) -> None:
+        self.is_down = False
 
 
 class ReplayConnections:
@@ -202,32 +202,32 @@
         return is_new
 
 
-class Visit:
+class ReplayCaller:
     """One caller, from the first try on."""
 
     def __init__(self, replay: "Replay", kind: Kind) -> None:
         self.replay = replay
-        self.kind = draw_size(kind, replay.draw)
-        self.subject = f"{kind.name}-{replay.draw.randrange(kind.subjects)}"
-        self.kind = draw_shared_size(self.kind, self.subject)
-        self.began = clocks.now_s()
-        self.tries = 0
+        self.kind = draw_size(kind, replay.rng)
+        self.shared_part = f"{kind.name}-{replay.rng.randrange(kind.shared_parts)}"
+        self.kind = draw_shared_size(self.kind, self.shared_part)
+        self.started_at = clocks.now_s()
+        self.attempts = 0
         self.runs = 0
         self.number = 0
         self.ended = False
         self.tally = replay.outcome.tally_by_kind[kind.name]
         self.tally.asked += 1
-        self.tally.asked_at.append(self.began)
+        self.tally.asked_at.append(self.started_at)
         self.tally.sizes.append(self.kind.tokens)
-        self._try()
+        self._start_attempt()
 
-    def _try(self) -> None:
-        self.tries += 1
+    def _start_attempt(self) -> None:
+        self.attempts += 1
         self.excluded: set[UpstreamId] = set()
         self.may_refuse = True
-        self.host = self.replay.draw.choice(self.replay.hosts)
+        self.host = self.replay.rng.choice(self.replay.hosts)
         parts = (
-            Part(PartId(self.subject), self.kind.shared_tokens),
+            Part(PartId(self.shared_part), self.kind.shared_tokens),
             Part(PartId(f"own-{next(self.replay.numbers)}"), self.kind.own_tokens),
         )
         tokens = self.kind.shared_tokens + self.kind.own_tokens
@@ -255,31 +255,31 @@
                 self._refuse(choice.retry_after_s)
 
     def _refuse(self, retry_after_s: float) -> None:
-        if self.tries > 1:
+        if self.attempts > 1:
             self._give_up("refused")
         else:
-            self.replay.after(retry_after_s, self._try)
+            self.replay.after(retry_after_s, self._start_attempt)
 
     def _send(self, choice: Choice) -> None:
         self.upstream = choice.tracker.id
         self.number = next(self.replay.numbers)
         expected_s = choice.first_s
-        self._tell(Progress.SENT, assignment=choice.assignment, expected_s=expected_s)
+        self._broadcast(Progress.SENT, assignment=choice.assignment, expected_s=expected_s)
         engine = self.replay.engine_by_id[self.upstream]
         is_new = self.host.connects(self.upstream)
         self.tally.connections += is_new
-        if engine.dark and is_new:
+        if engine.is_down and is_new:
             self.replay.after(CONNECT_S, self._fail_to_connect)
             return
         self.host.placement.shares.note_sent(choice.tracker)
-        engine.take(self)
+        engine.handle(self)
         number = self.number
-        self.replay.after(PATIENCE_S, lambda: self._leave(number))
+        self.replay.after(CALLER_TIMEOUT_S, lambda: self._leave(number))
 
     def _fail_to_connect(self) -> None:
         self.host.connected_until.pop(self.upstream, None)
         self.host.placement.trackers.by_id[self.upstream].record_connect_failure()
-        self._tell(Progress.ENDED, reachability=Reachability.NO_CONNECTION)
+        self._broadcast(Progress.ENDED, reachability=Reachability.NO_CONNECTION)
         self.excluded.add(self.upstream)
         if len(self.excluded) < CONNECTS_MAX:
             self._choose()
@@ -291,40 +291,40 @@
             self.ended = True
             self.host.connected_until.pop(self.upstream, None)
             self._give_up("unserved")
-            self._tell(Progress.ENDED, reachability=Reachability.NO_RESPONSE)
+            self._broadcast(Progress.ENDED, reachability=Reachability.NO_RESPONSE)
 
     def _give_up(self, outcome: str) -> None:
         setattr(self.tally, outcome, getattr(self.tally, outcome) + 1)
-        self.tally.unserved_s += clocks.now_s() - self.began
+        self.tally.unserved_s += clocks.now_s() - self.started_at
 
-    def take_first(self, run: int) -> None:
+    def record_first_event(self, run: int) -> None:
         if self.ended or self.runs != run:
             return
         self.ended = True
-        self._tell(Progress.FIRST_EVENT)
-        first_s = clocks.now_s() - self.began
-        self.tally.firsts.append(first_s)
+        self._broadcast(Progress.FIRST_EVENT)
+        first_s = clocks.now_s() - self.started_at
+        self.tally.first_event_times_s.append(first_s)
         self.tally.served_sizes.append(self.kind.tokens)
         if first_s <= self.kind.target_s:
             self.tally.in_time += 1
-            self.tally.in_time_at.append(self.began)
+            self.tally.in_time_at.append(self.started_at)
         else:
             self.tally.late += 1
-            self.tally.late_again += self.tries > 1
+            self.tally.late_after_refusal += self.attempts > 1
 
-    def break_off(self) -> None:
+    def record_preemption(self) -> None:
         """Take that the engine preempted the run; a stream that had begun has a long pause now."""
         if (
             self.ended
-            and clocks.now_s() - self.began > 0
-            and self.tally.in_time > self.tally.broken
+            and clocks.now_s() - self.started_at > 0
+            and self.tally.in_time > self.tally.interrupted
         ):
-            self.tally.broken += 1
+            self.tally.interrupted += 1
 
-    def take_end(self) -> None:
-        self._tell(Progress.ENDED, reachability=Reachability.RESPONDED, failed=False)
+    def record_end(self) -> None:
+        self._broadcast(Progress.ENDED, reachability=Reachability.RESPONDED, failed=False)
 
-    def _tell(self, progress: Progress, **fields: object) -> None:
+    def _broadcast(self, progress: Progress, **fields: object) -> None:
         self.host.exchange.broadcast(Notice(self.upstream, self.number, progress, **fields))
 
 
@@ -332,12 +332,12 @@
     """One load, replayed."""
 
     engine_class: type[ReplayEngine] = ReplayEngine
-    visit_class: type[Visit] = Visit
+    caller_class: type[ReplayCaller] = ReplayCaller
 
     def __init__(self, load: Load) -> None:
         self.load = load
         self.now = 1000.0
-        self.draw = random.Random(load.seed)
+        self.rng = random.Random(load.seed)
         self.numbers = itertools.count(1)
         self.outcome = Outcome({kind.name: Tally(kind) for kind in load.kinds})
         self._events: list[tuple[float, int, Callable[[], None]]] = []
@@ -351,7 +351,7 @@
         ):
             random.seed(self.load.seed)
             self._build()
-            end = self.now + self.load.length_s + PATIENCE_S + 1.0
+            end = self.now + self.load.length_s + CALLER_TIMEOUT_S + 1.0
             while self._events and self._events[0][0] < end:
                 self.now, _, function = heapq.heappop(self._events)
                 function()
@@ -359,7 +359,7 @@
 
     def presence(self, upstream: UpstreamId) -> Presence:
         """Return what a probe of an engine brings."""
-        return Presence.UNKNOWN if self.engine_by_id[upstream].dark else Presence.HERE
+        return Presence.UNKNOWN if self.engine_by_id[upstream].is_down else Presence.HERE
 
     def after(self, seconds: float, function: Callable[[], None]) -> None:
         """Call a function later."""
@@ -370,7 +370,7 @@
             function()
             self.after(seconds, call)
 
-        self.after(self.draw.random() * seconds, call)
+        self.after(self.rng.random() * seconds, call)
 
     def _build(self) -> None:
         load = self.load
@@ -401,25 +401,25 @@
                 totals_s = SUM_INTERVAL_S * SUMS_PER_TOTAL
                 self._every(totals_s, lambda exchange=host.exchange: exchange.send_sums(True))
                 self._every(LOOK_S, lambda probes=host.probes: self._probe(probes))
-        self._plan_callers()
-        self._plan_darkness()
+        self._schedule_callers()
+        self._schedule_outage()
 
     def _probe(self, probes: Probes) -> None:
         for tracker in probes.due():
             probes.probe(tracker)
 
-    def _plan_callers(self) -> None:
-        begin, end, factor = self.load.crowd
+    def _schedule_callers(self) -> None:
+        begin, end, factor = self.load.surge
         for kind in self.load.kinds:
             at = 0.0
             while at < self.load.length_s:
                 rate = kind.per_s * (factor if begin <= at < end else 1.0)
-                at += self.draw.expovariate(rate)
-                self.after(at, lambda kind=kind: self.visit_class(self, kind))
+                at += self.rng.expovariate(rate)
+                self.after(at, lambda kind=kind: self.caller_class(self, kind))
 
-    def _plan_darkness(self) -> None:
-        begin, end, share = self.load.dark
+    def _schedule_outage(self) -> None:
+        begin, end, share = self.load.outage
         engines = list(self.engine_by_id.values())
-        for engine in self.draw.sample(engines, round(share * len(engines))):
-            self.after(begin, engine.turn_dark)
-            self.after(end, engine.turn_light)
+        for engine in self.rng.sample(engines, round(share * len(engines))):
+            self.after(begin, engine.go_down)
+            self.after(end, engine.come_up)
--- a/libs/serving/ruddersaddle_serving/tests/replay_loads.py
+++ b/libs/serving/ruddersaddle_serving/tests/replay_loads.py
@@ -21,11 +21,11 @@
     priority: int
     worth: float
     """Worth of an answer in time; a late one is worth `LATE_SHARE` of it."""
-    subjects: int
+    shared_parts: int
     """Shared parts that are asked for, alike often."""
     spread: float = 0.0
     """Spread of own tokens, log-normal around `own_tokens`; 0 where all are alike."""
-    own_tokens_most: int = 24_000
+    own_tokens_max: int = 24_000
     """Most own tokens that are drawn."""
     shared_spread: float = 0.0
     """The same for shared parts, around `shared_tokens`; each has one size."""
@@ -36,21 +36,21 @@
         return self.shared_tokens + self.own_tokens + self.tokens_out
 
 
-def draw_size(kind: Kind, draw: random.Random) -> Kind:
+def draw_size(kind: Kind, rng: random.Random) -> Kind:
     """Return the kind with the own tokens of one request."""
     if not kind.spread:
         return kind
-    drawn = draw.lognormvariate(math.log(kind.own_tokens), kind.spread)
-    own_tokens = max(1, min(kind.own_tokens_most, round(drawn)))
+    drawn = rng.lognormvariate(math.log(kind.own_tokens), kind.spread)
+    own_tokens = max(1, min(kind.own_tokens_max, round(drawn)))
     return msgspec.structs.replace(kind, own_tokens=own_tokens)
 
 
-def draw_shared_size(kind: Kind, subject: str) -> Kind:
+def draw_shared_size(kind: Kind, shared_part: str) -> Kind:
     """Return the kind with the tokens of the shared part of this name."""
     if not kind.shared_spread:
         return kind
-    draw = random.Random(subject)
-    drawn = draw.lognormvariate(math.log(kind.shared_tokens), kind.shared_spread)
+    rng = random.Random(shared_part)
+    drawn = rng.lognormvariate(math.log(kind.shared_tokens), kind.shared_spread)
     return msgspec.structs.replace(kind, shared_tokens=max(1, round(drawn)))
 
 
@@ -67,9 +67,9 @@
     first_s: float = 0.047
     step_s: float = 0.005
     length_s: float = 8.0
-    crowd: tuple[float, float, float] = (0.0, 0.0, 1.0)
+    surge: tuple[float, float, float] = (0.0, 0.0, 1.0)
     """From when to when the rate is multiplied, and by what."""
-    dark: tuple[float, float, float] = (0.0, 0.0, 0.0)
+    outage: tuple[float, float, float] = (0.0, 0.0, 0.0)
     """From when to when a share of the engines is dark, and which share."""
     seed: int = 1
 
@@ -81,20 +81,20 @@
     asked: int = 0
     in_time: int = 0
     late: int = 0
-    late_again: int = 0
+    late_after_refusal: int = 0
     """Of the late ones those that had been refused first."""
-    broken: int = 0
+    interrupted: int = 0
     """Preempted in the middle of their stream; they count as late."""
     refused: int = 0
     unserved: int = 0
     unserved_s: float = 0.0
     """Time that callers waited who were then refused or left."""
-    read_tokens: int = 0
+    prefilled_tokens: int = 0
     connections: int = 0
     asked_at: list[float] = []
     """When each request was first asked, and of those in time when they were."""
     in_time_at: list[float] = []
-    firsts: list[float] = []
+    first_event_times_s: list[float] = []
     sizes: list[int] = []
     """Tokens of each request that was asked for."""
     served_sizes: list[int] = []
@@ -115,8 +115,8 @@
     @property
     def share(self) -> float:
         """Share of the worth asked for that was earned."""
-        late = self.late + self.broken
-        return (self.in_time - self.broken + LATE_SHARE * late) / max(1, self.asked)
+        late = self.late + self.interrupted
+        return (self.in_time - self.interrupted + LATE_SHARE * late) / max(1, self.asked)
 
 
 class Outcome(msgspec.Struct):
--- a/libs/serving/ruddersaddle_serving/tests/test_crash_replays.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_crash_replays.py
@@ -28,7 +28,7 @@
     memory_tokens=149_281,
     tokens_s=60_000.0,
     length_s=11.0,
-    crowd=(0.0, 20.0, 2.1),
+    surge=(0.0, 20.0, 2.1),
 )
 CRASHES = Crashes((3.0, 5.5))
 CALM = (1.0, 3.0)
@@ -71,7 +71,7 @@
     def test_engines_that_bear_four_a_second_before_four_hundred_hosts(self) -> None:
         kinds = tuple(msgspec.structs.replace(each, per_s=each.per_s * 0.4) for each in KINDS)
         load = msgspec.structs.replace(
-            LOAD, kinds=kinds, hosts=400, length_s=8.0, crowd=(0.0, 0.0, 1.0)
+            LOAD, kinds=kinds, hosts=400, length_s=8.0, surge=(0.0, 0.0, 1.0)
         )
         crashes = msgspec.structs.replace(CRASHES, moments=(3.0,), cold_per_s=4.0, falls_above=11)
         self.check(load, crashes)
--- a/libs/serving/ruddersaddle_serving/tests/test_large_requests.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_large_requests.py
@@ -48,7 +48,7 @@
     3.1,
     326,
     spread=0.7,
-    own_tokens_most=11_500,
+    own_tokens_max=11_500,
     shared_spread=0.6,
 )
 """Long prompts and answers, of which shared parts are the most: they fill engines' memory."""
@@ -108,7 +108,7 @@
     def test_engines_lost_under_load(self) -> None:
         for factor in (1.2, 2.0):
             with self.subTest(factor=factor):
-                load = msgspec.structs.replace(THREE, dark=(4.0, 12.0, 0.34))
+                load = msgspec.structs.replace(THREE, outage=(4.0, 12.0, 0.34))
                 self.replay(at_load(load, factor, 3))
 
     def test_many_hosts_that_see_few_large_ones_each(self) -> None:
@@ -124,7 +124,7 @@
 
     def test_long_prompts_while_engines_are_lost(self) -> None:
         """With six of ten judged as common 0.21 of the largest tenth were served, of all 0.46."""
-        self.replay(times(msgspec.structs.replace(FIVE, dark=(4.0, 20.0, 0.34)), 2.2, 2))
+        self.replay(times(msgspec.structs.replace(FIVE, outage=(4.0, 20.0, 0.34)), 2.2, 2))
 
 
 if __name__ == "__main__":
--- a/libs/serving/ruddersaddle_serving/tests/test_load_replays.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_load_replays.py
@@ -34,20 +34,20 @@
 
     def test_engines_lost_under_load(self) -> None:
         """A quarter is dark from the first second on: 0.862, before 0.841 (short 0.97, 0.92)."""
-        load = msgspec.structs.replace(CALM, dark=(1.0, 6.0, 0.24))
+        load = msgspec.structs.replace(CALM, outage=(1.0, 6.0, 0.24))
         outcome = self.replay(load)
         self.assertGreater(outcome.worth, 0.85)
         self.assertGreater(outcome.tally_by_kind["short"].share, 0.95)
 
     def test_crowd_of_1_6_times_the_usual(self) -> None:
         """0.798, before 0.707 (middle 0.90, 0.74)."""
-        outcome = self.replay(msgspec.structs.replace(CALM, crowd=(1.0, 5.0, 1.6)))
+        outcome = self.replay(msgspec.structs.replace(CALM, surge=(1.0, 5.0, 1.6)))
         self.assertGreater(outcome.worth, 0.75)
         self.assertGreater(outcome.tally_by_kind["middle"].share, 0.8)
 
     def test_crowd_while_engines_are_lost(self) -> None:
         """0.744, before 0.636."""
-        load = msgspec.structs.replace(CALM, crowd=(1.0, 5.0, 1.3), dark=(1.0, 6.0, 0.24))
+        load = msgspec.structs.replace(CALM, surge=(1.0, 5.0, 1.3), outage=(1.0, 6.0, 0.24))
         self.assertGreater(self.replay(load).worth, 0.7)
 
 
