--- a/libs/serving/ruddersaddle_serving/weighings.py
+++ b/libs/serving/ruddersaddle_serving/weighings.py
@@ -1,4 +1,4 @@
-"""What a prompt would cost at each of some engines."""
+"""Estimates the time to first event of a prompt on candidate engines."""
 
 import random
 
@@ -20,27 +20,27 @@
 
 
 class Estimate(msgspec.Struct, frozen=True):
-    """What a prompt would cost at one engine, in seconds."""
+    """Predicted cost of a prompt on one engine, in seconds."""
 
     tracker: Tracker
     version: int | None
     salt: str
     wait_s: float
-    """Wait for what is as urgent as the request."""
+    """Wait behind requests of the same or a higher priority."""
     admission_wait_s: float
-    """The same as it decides: longer where the request would take what is kept for others."""
+    """Wait used for admission: longer if the request would use capacity reserved for others."""
     backlog: Backlog
-    """What stands at the engine for what is as urgent."""
+    """What is queued and running at the engine, as seen by the request's priority."""
     capacity: Capacity
     fetch_s: float
     prefill_s: float
-    """Nominal time that the engine reads until the first event."""
+    """Nominal prefill time until the first event."""
     prefill_factor: float
-    """What the engine takes to read, as a multiple of the nominal time."""
+    """Observed prefill time of the engine, as a multiple of the nominal time."""
     overhead_s: float
-    """What its first events take beside reading."""
+    """Time until a first event beside queueing and prefill."""
     tokens: int
-    """Memory that the request needs at the engine."""
+    """Memory that the request needs on the engine."""
     covered_tokens: int
     missing_tokens: int
 
@@ -51,13 +51,13 @@
 
     @property
     def admission_s(self) -> float:
-        """Time until the first event as it decides where a request goes, and whether."""
+        """Time until the first event as used to choose an engine and to admit the request."""
         return self.first_s - self.wait_s + self.admission_wait_s
 
     def excess_s(self, request: CallerRequest, share: float = 1.0) -> float:
-        """Return how much too late the first event would come; at most 0 if it is let in.
+        """Return by how much the first event would be too late; at most 0 if it is admitted.
 
-        `share` is the part that is counted of what the request needs: reading, fetching and memory.
+        `share` scales what is counted of the request's prefill, fetch time and memory.
         """
         tokens = round(self.tokens * share)
         wait_s = admission_wait_s(self.backlog, self.capacity, tokens, request.priority)
@@ -68,13 +68,13 @@
         return excess_s(first_s, wait_s, request.route.target_latency_s, memory_share)
 
     def summary(self) -> str:
-        """Return the engine, its predicted time and wait in ms, and the tokens it has to read."""
+        """Return the engine, its predicted time and wait in ms, and the tokens to prefill."""
         first_ms, wait_ms = round(self.first_s * 1000), round(self.wait_s * 1000)
         return f"{self.tracker.id} {first_ms} {wait_ms} {self.missing_tokens}"
 
 
 class CostEstimator:
-    """Estimates of one prompt; stores are looked through once for each salt."""
+    """Estimates the cost of one prompt; context stores are searched once for each salt."""
 
     def __init__(self, request: CallerRequest, prompt: Prompt, kept: KeptParts) -> None:
         self.request = request
@@ -84,10 +84,11 @@
         self.holders_by_salt: dict[str, list[KeptStore | None]] = {}
 
     def pick_earliest(self, trackers: list[Tracker], margin_s: float = 0.0) -> Estimate:
-        """Return the estimate that admission finds earliest; of equal ones the first tracker's.
+        """Return the estimate with the earliest first event; the first tracker's among equals.
 
-        What is later by less than `margin_s` is as good: of these one is drawn to which a
-        connection stands, so that hosts with the same old belief don't all send to one engine.
+        Estimates within `margin_s` of the earliest count as tied. One of these is drawn at random,
+        preferably with an idle connection, so that hosts with the same outdated view don't all send
+        to one engine.
         """
         estimates = [self._estimate(each) for each in trackers]
         self.estimates += estimates
@@ -105,11 +106,11 @@
         salt = self._salt(prompt.model, version)
         if salt not in self.holders_by_salt:
             self.holders_by_salt[salt] = self.kept.find_holders(salt, prompt)
-        covered = tracker.memory.cached_prefix_tokens(salt, prompt.shared_parts)
+        cached = tracker.memory.cached_prefix_tokens(salt, prompt.shared_parts)
         fetched, fetch_s = _fetchable_parts(
-            prompt, covered, self.holders_by_salt[salt], tracker.entry.hall
+            prompt, cached, self.holders_by_salt[salt], tracker.entry.hall
         )
-        missing = max(0, prompt.tokens_in - covered - fetched)
+        missing = max(0, prompt.tokens_in - cached - fetched)
         tokens = prompt.tokens
         capacity = Capacity(tracker.entry.slots, tracker.memory.capacity_tokens)
         backlog = tracker.load.backlog(priority)
@@ -126,27 +127,27 @@
             prefill_factor=tracker.load.service_time.factor,
             overhead_s=tracker.load.service_time.overhead_s,
             tokens=tokens,
-            covered_tokens=covered,
+            covered_tokens=cached,
             missing_tokens=missing,
         )
 
     def _salt(self, model: ModelId, version: int | None) -> str:
-        """Return the name under which parts are kept: one for each weights and each wall."""
+        """Return the namespace of cached parts: one per weights and per dedicated workspace."""
         workspace = self.request.workspace
-        wall = workspace.id if workspace is not None and workspace.dedicated else None
-        return make_salt(model, version or 0, wall)
+        isolation = workspace.id if workspace is not None and workspace.dedicated else None
+        return make_salt(model, version or 0, isolation)
 
 
 def _fetchable_parts(
-    prompt: Prompt, covered: int, holders: list[KeptStore | None], hall: HallId
+    prompt: Prompt, cached: int, holders: list[KeptStore | None], hall: HallId
 ) -> tuple[int, float]:
-    """Return the tokens of the parts after the covered ones that can be fetched, and the time."""
+    """Return the tokens of the parts after the cached ones that can be fetched, and their time."""
     fetched = 0
     fetch_s = 0.0
     passed = 0
     for part, holder in zip(prompt.shared_parts, holders, strict=True):
         passed += part.tokens
-        if passed <= covered:
+        if passed <= cached:
             continue
         if holder is None:
             break
