--- a/libs/serving/ruddersaddle_serving/paces.py
+++ b/libs/serving/ruddersaddle_serving/paces.py
@@ -1,62 +1,62 @@
-"""How fast an engine really is, learned from when first events came.
+"""Estimates an engine's service time from observed times to first event.
 
-A first event takes a time of its own (the first steps, the way there and back), whatever is read,
-and the reading of what the engine lacks and of what waits before it. Engines work on many prompts
-at once, so that the first part is not added up over what waits.
+The time to a first event has a fixed overhead (the first decoding steps and the network round trip)
+and the prefill of the missing tokens and of what is queued ahead. Engines work on many prompts at
+once, so the overhead is not added up over the queue.
 """
 
 import msgspec
 
 NOMINAL_PREFILL_TOKENS_S = 50_000.0
-"""Prompt tokens that an idle engine reads in a second, before anything was seen of it. Engines of
-the known kinds read 48,000 to 112,000; the learned factor takes up the rest."""
+"""Assumed prefill rate of an idle engine before the first observation. Known engine types reach
+48,000 to 112,000 tokens a second; the estimated factor covers the difference."""
 OVERHEAD_S = 0.04
-"""Time to a first event beside reading and waiting, before anything was seen of an engine."""
+"""Assumed time to a first event beside prefill and queueing, before the first observation."""
 STEP_FACTOR = 1.03
-"""Factor by which one observation moves what is learned: from 1 to 2 in 24 observations, which an
-engine gives in 5 s at five requests a second."""
+"""Factor by which one observation moves the estimates: from 1 to 2 takes 24 observations, which is
+5 s at five requests a second."""
 FACTOR_MAX = 8.0
 FACTOR_MIN = 0.25
-"""Bounds of the learned factor: an engine four times as fast as the nominal one, or eight times as
-slow, as where it is slowed down or its links are."""
+"""Bounds of the estimated factor: an engine four times as fast as the nominal one, or eight times
+as slow because the engine or its network links are slowed down."""
 OVERHEAD_MIN_S = 0.002
 OVERHEAD_MAX_S = 0.5
-"""Bounds of the learned time beside reading."""
+"""Bounds of the estimated overhead."""
 
 
 def nominal_prefill_s(missing_tokens: int) -> float:
-    """Return how long a nominal engine reads what it lacks of a prompt, in seconds."""
+    """Return the prefill time of a prompt's missing tokens on a nominal engine, in seconds."""
     return missing_tokens / NOMINAL_PREFILL_TOKENS_S
 
 
 class Observation(msgspec.Struct, frozen=True):
-    """What stood before a request's first event: nominal reading and fetching, in seconds."""
+    """Nominal prefill and fetch time ahead of a request's first event, in seconds."""
 
     queued_prefill_s: float
     fetch_s: float
 
 
 class ServiceTime:
-    """The ratio of observed to nominal reading, and the time beside it, as running medians.
+    """Running medians of the ratio of observed to nominal prefill time, and of the overhead.
 
-    A median is not moved by single stalls, of which busy engines have many: observed times are
-    three times their median in one of ten requests.
+    A median is not moved by single stalls, which are frequent on busy engines: one of ten requests
+    takes three times the median.
     """
 
     def __init__(self, factor: float = 1.0, overhead_s: float = OVERHEAD_S) -> None:
         self.factor = factor
         self.overhead_s = overhead_s
 
-    def record(self, seen: Observation, observed_s: float) -> None:
-        """Take how long a first event took.
+    def record(self, observation: Observation, observed_s: float) -> None:
+        """Record an observed time to first event.
 
-        Each part moves by its share of what was predicted: small prompts tell the time beside
-        reading, large ones the reading.
+        Each estimate moves by its share of the predicted time: small prompts mainly adjust the
+        overhead, large ones the prefill factor.
         """
-        prefill_s = seen.queued_prefill_s * self.factor
+        prefill_s = observation.queued_prefill_s * self.factor
         predicted_s = self.overhead_s + prefill_s
         share = prefill_s / predicted_s
-        step = STEP_FACTOR if observed_s - seen.fetch_s > predicted_s else 1.0 / STEP_FACTOR
+        step = STEP_FACTOR if observed_s - observation.fetch_s > predicted_s else 1.0 / STEP_FACTOR
         self.factor = min(FACTOR_MAX, max(FACTOR_MIN, self.factor * step**share))
         overhead_s = self.overhead_s * step ** (1.0 - share)
         self.overhead_s = min(OVERHEAD_MAX_S, max(OVERHEAD_MIN_S, overhead_s))
--- a/libs/serving/ruddersaddle_serving/tests/test_paces.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_paces.py
@@ -1,4 +1,4 @@
-"""Tests of learning how fast engines are."""
+"""Tests of the estimated service time of engines."""
 
 import unittest
 
@@ -21,8 +21,8 @@
     return model.overhead_s + nominal_prefill_s(tokens) * model.factor
 
 
-class PaceTest(unittest.TestCase):
-    def test_every_reading_rate_and_start_is_found(self) -> None:
+class ServiceTimeTest(unittest.TestCase):
+    def test_every_prefill_rate_and_overhead_is_found(self) -> None:
         for tokens_s in (20_000.0, 48_200.0, 112_000.0):
             for overhead_s, rounds in ((0.02, 200), (0.005, 600), (0.065, 600)):
                 with self.subTest(tokens_s=tokens_s, overhead_s=overhead_s):
@@ -33,8 +33,8 @@
                     expected_s = overhead_s + 2500 / tokens_s
                     self.assertAlmostEqual(predict_s(model, 2500), expected_s, delta=0.012)
 
-    def test_start_is_told_from_reading(self) -> None:
-        """What waits before a small prompt adds its reading, and no start of its own."""
+    def test_overhead_is_separated_from_prefill(self) -> None:
+        """Requests queued ahead of a small prompt add their prefill but not their overhead."""
         model = ServiceTime()
         for number in range(600):
             missing = (100, 600, 3000, 12_000)[number % 4]
@@ -50,13 +50,13 @@
             record(model, 0.1, 2.0 if number % 5 == 0 else 0.1 + 0.001 * (number % 7))
         self.assertAlmostEqual(model.overhead_s + 0.1 * model.factor, 0.103, delta=0.008)
 
-    def test_fetching_is_told_apart(self) -> None:
+    def test_fetch_time_is_separated(self) -> None:
         model = ServiceTime()
         for _ in range(300):
             model.record(Observation(0.1, 0.5), 0.5 + 0.06 + 0.1)
         self.assertAlmostEqual(model.overhead_s + 0.1 * model.factor, 0.16, delta=0.01)
 
-    def test_what_is_learned_is_bounded(self) -> None:
+    def test_estimates_are_bounded(self) -> None:
         slow, fast = ServiceTime(), ServiceTime()
         for number in range(3000):
             prefill_s = (0.001, 10.0)[number % 2]
