--- a/libs/serving/ruddersaddle_serving/tests/test_silences.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_silences.py
@@ -1,4 +1,4 @@
-"""Tests of how an upstream that fell silent is found."""
+"""Tests of how unresponsive upstreams are detected."""
 
 import unittest
 
@@ -7,50 +7,50 @@
 ONE, TWO = ("a", 1), ("b", 2)
 
 
-class SilenceTest(unittest.TestCase):
+class LivenessTest(unittest.TestCase):
     def setUp(self) -> None:
         self.liveness = Liveness()
         self.liveness.record_response(10.0)
 
-    def test_request_that_is_overdue_shows_silence_since_it_was_sent(self) -> None:
+    def test_upstream_with_an_overdue_request_is_unresponsive_since_it_was_sent(self) -> None:
         self.liveness.record_sent(ONE, 11.0, 0.2)
         self.assertIsNone(self.liveness.unresponsive_since(11.1 + SILENCE_TIMEOUT_S))
         self.assertEqual(self.liveness.unresponsive_since(11.3 + SILENCE_TIMEOUT_S), 11.0)
 
-    def test_any_later_sign_of_life_excuses_it(self) -> None:
+    def test_any_later_response_clears_it(self) -> None:
         self.liveness.record_sent(ONE, 11.0, 0.2)
         self.liveness.record_response(11.1)
         self.assertIsNone(self.liveness.unresponsive_since(15.0))
 
-    def test_sign_of_life_from_before_it_was_sent_excuses_nothing(self) -> None:
+    def test_response_from_before_the_request_was_sent_does_not_clear_it(self) -> None:
         self.liveness.record_sent(ONE, 11.0, 0.2)
         self.liveness.record_response(10.9)
         self.assertEqual(self.liveness.unresponsive_since(15.0), 11.0)
 
-    def test_connection_that_does_not_come_about_shows_it_at_once(self) -> None:
+    def test_connect_failure_shows_it_at_once(self) -> None:
         self.liveness.record_sent(ONE, 11.0, 0.2)
         self.liveness.record_connect_failure(ONE)
         self.assertEqual(self.liveness.unresponsive_since(11.1), 11.0)
         self.liveness.record_response(11.2)
         self.assertIsNone(self.liveness.unresponsive_since(11.3))
 
-    def test_one_host_that_reaches_nothing_does_not_show_it_to_others(self) -> None:
+    def test_connect_failure_of_one_host_does_not_outweigh_responses_to_others(self) -> None:
         self.liveness.record_sent(ONE, 11.0, 0.2)
         self.liveness.record_response(11.1)
         self.liveness.record_connect_failure(ONE)
         self.assertIsNone(self.liveness.unresponsive_since(11.3))
 
-    def test_silence_stays_after_the_callers_have_left(self) -> None:
+    def test_upstream_stays_unresponsive_after_the_callers_have_left(self) -> None:
         self.liveness.record_sent(ONE, 11.0, 0.2)
         self.liveness.record_abandoned(ONE, 13.0)
         self.assertEqual(self.liveness.unresponsive_since(20.0), 11.0)
 
-    def test_caller_that_leaves_early_shows_nothing(self) -> None:
+    def test_request_abandoned_before_it_is_due_shows_nothing(self) -> None:
         self.liveness.record_sent(ONE, 11.0, 0.2)
         self.liveness.record_abandoned(ONE, 11.1)
         self.assertIsNone(self.liveness.unresponsive_since(20.0))
 
-    def test_told_silence_counts_until_something_is_heard_or_it_is_old(self) -> None:
+    def test_report_counts_until_a_response_or_until_it_expires(self) -> None:
         self.liveness.apply_report("reader", 11.0, 12.0)
         self.assertEqual(self.liveness.unresponsive_since(12.1), 11.0)
         self.assertIsNone(self.liveness.observed_unresponsive_since(12.1))
