--- a/libs/serving/ruddersaddle_serving/engine_loads.py
+++ b/libs/serving/ruddersaddle_serving/engine_loads.py
@@ -1,7 +1,7 @@
-"""What an engine has to read and what it keeps, from what all hosts send to it.
+"""Estimates an engine's queued prefill, memory use and cached parts from what all hosts send to it.
 
-Hosts tell one another of each request that they send, when its first event came, and when it ended.
-What was sent and has no first event yet is what the engine still has to read.
+Hosts notify one another of each request that they send, of its first event and of its end. Requests
+that were sent and have no first event yet are the prefill that is still queued.
 """
 
 from collections import OrderedDict
@@ -15,38 +15,39 @@
 from ruddersaddle_serving.silences import REPORT_TTL_S
 
 REQUEST_TTL_S = 8.0
-"""A request of which nothing more was heard is forgotten after this long: its host may be gone.
-Runs of 160 tokens take a few seconds where an engine is full."""
+"""A request without further notices is dropped after this long, because its host may be gone. Runs
+of 160 tokens take a few seconds on a full engine."""
 
 INITIAL_RUN_S = 1.0
-"""Length of a run before any was seen; the known kinds take 0.1 to 5 s."""
+"""Assumed length of a run before the first observation; known kinds take 0.1 to 5 s."""
 RUN_WEIGHT = 0.05
-"""Weight of the newest run in the mean: about the last twenty count, a second or two of them."""
+"""Weight of the latest run in the moving average, which covers about the last twenty runs, or one
+to two seconds."""
 RUN_WEIGHT_MAX = 0.3
-"""Most that one run of many tokens weighs in the mean length by memory."""
+"""Limit on the weight of one run with many tokens in the average weighted by memory."""
 
 PRIORITY_LEVELS = 10
-"""Steps of urgency that engines know; 0 goes first."""
+"""Priority levels of engines; 0 is the highest."""
 
 
-class Sent(msgspec.Struct):
+class SentRequest(msgspec.Struct):
     """A request sent to the engine; `prefill_s` is its nominal prefill time."""
 
     priority: int
     prefill_s: float
     tokens: int
-    """Memory that it needs by itself."""
+    """Memory that it doesn't share with other requests."""
     salt: str
     parts: tuple[Part, ...]
     """Parts that it shares with other requests."""
-    at: float
+    sent_at: float
     observation: Observation | None
-    """What stands before its first event; None where it waits for memory first."""
+    """Work ahead of its first event; None if it has to wait for memory first."""
     first_at: float | None = None
 
 
 class PartUse(msgspec.Struct):
-    """A shared part that running requests use, counted at the urgency of the first of them."""
+    """A shared part in use by running requests, counted at the priority of the first of them."""
 
     tokens: int
     priority: int
@@ -54,7 +55,7 @@
 
 
 class LoadSum(msgspec.Struct, frozen=True, array_like=True):
-    """What stands at an engine, summed by urgency: reading in milliseconds, memory in tokens."""
+    """Load of an engine summed by priority: prefill in milliseconds, memory in tokens."""
 
     prefill_ms: tuple[int, ...] = ()
     tokens: tuple[int, ...] = ()
@@ -64,23 +65,24 @@
 class EngineLoad:
     """The requests at one engine, by the number that their host gave them.
 
-    An engine lets the more urgent in first, so what a request waits for is what is as urgent as it.
-    Requests that this host does not hear of one by one come as sums, by whom they were reported.
+    An engine admits higher priorities first, so a request waits for those of the same or a higher
+    priority. Requests that this host gets no notices of are known as sums, by reporting host.
     """
 
     def __init__(self) -> None:
-        self.by_number: OrderedDict[tuple[str, int], Sent] = OrderedDict()
+        self.by_number: OrderedDict[tuple[str, int], SentRequest] = OrderedDict()
         self.run_s = INITIAL_RUN_S
-        """Mean length of a run from its first event, in seconds; slots come free by it."""
+        """Mean length of a run from its first event, in seconds; sets how fast slots become
+        free."""
         self.memory_run_s = INITIAL_RUN_S
-        """The same weighed by the tokens of runs; memory comes free by it. Few long runs hold most
-        of it: by the plain mean, waits of 1.5 s were predicted as 0.3 s."""
+        """Mean weighted by the tokens of runs; sets how fast memory becomes free. A few long runs
+        hold most of the memory: the plain mean predicted 0.3 s for waits of 1.5 s."""
         self._mean_tokens = 0.0
         self.service_time = ServiceTime()
         self._prefill_by_priority = [0.0] * PRIORITY_LEVELS
         self._tokens_by_priority = [0] * PRIORITY_LEVELS
         self._requests_by_priority = [0] * PRIORITY_LEVELS
-        self._uses_by_part: dict[tuple[str, PartId], PartUse] = {}
+        self._use_by_part: dict[tuple[str, PartId], PartUse] = {}
         self._remote_by_source: dict[str, tuple[LoadSum, float]] = {}
 
     @property
@@ -89,7 +91,7 @@
         return sum(self._tokens_by_priority) + sum(self._remote_tokens())
 
     def own_sum(self) -> LoadSum:
-        """Return the sum of the requests that this host hears of one by one."""
+        """Return the sum of the requests that this host gets notices of."""
         self._expire_old()
         prefill_ms = _strip_trailing_zeros(
             [round(each * 1000) for each in self._prefill_by_priority]
@@ -98,7 +100,7 @@
         return LoadSum(prefill_ms, tokens, _strip_trailing_zeros(self._requests_by_priority))
 
     def total_sum(self) -> LoadSum:
-        """Return the sum of all requests that are known to be at the engine."""
+        """Return the sum of all known requests at the engine."""
         sums = [self.own_sum(), *self._remote_sums()]
         return LoadSum(
             _strip_trailing_zeros(_sum_rows([each.prefill_ms for each in sums])),
@@ -107,7 +109,7 @@
         )
 
     def apply_sum(self, source: str, reported: LoadSum, includes_own: bool) -> None:
-        """Take a sum of requests that were sent elsewhere; it counts for `REPORT_TTL_S`."""
+        """Apply a reported sum of requests from other hosts; it counts for `REPORT_TTL_S`."""
         if includes_own and self.by_number:
             reported = _subtract(reported, self.own_sum())
         self._remote_by_source[source] = (reported, clocks.now_s())
@@ -139,9 +141,9 @@
         salt: str = "",
         parts: tuple[Part, ...] = (),
     ) -> None:
-        """Take that a request was sent; `fetch_s` is the time until its parts are fetched.
+        """Record that a request was sent; `fetch_s` is the time to fetch its parts.
 
-        `tokens` is all memory that it needs, that of its shared `parts` included.
+        `tokens` is all memory that it needs, including its shared `parts`.
         """
         self._expire_old()
         priority = min(PRIORITY_LEVELS - 1, max(0, priority))
@@ -150,7 +152,9 @@
         observation = Observation(queued_prefill_s, fetch_s) if fits_memory else None
         own = max(0, tokens - sum(part.tokens for part in parts))
         now = clocks.now_s()
-        self.by_number[number] = Sent(priority, prefill_s, own, salt, parts, now, observation)
+        self.by_number[number] = SentRequest(
+            priority, prefill_s, own, salt, parts, now, observation
+        )
         self._prefill_by_priority[priority] += prefill_s
         self._tokens_by_priority[priority] += own
         self._requests_by_priority[priority] += 1
@@ -160,32 +164,32 @@
     def _use_part(self, key: tuple[str, PartId], tokens: int, priority: int) -> None:
         """Count a shared part once, for the first request that uses it.
 
-        Counted for each request, 230,000 tokens stood for 175,000 where many prompts share much.
+        Counting it for each request gave 230,000 tokens instead of 175,000 when prompts share much.
         """
-        use = self._uses_by_part.get(key)
+        use = self._use_by_part.get(key)
         if use is None:
-            self._uses_by_part[key] = PartUse(tokens, priority)
+            self._use_by_part[key] = PartUse(tokens, priority)
             self._tokens_by_priority[priority] += tokens
         else:
             use.count += 1
 
     def _release_part(self, key: tuple[str, PartId]) -> None:
-        use = self._uses_by_part[key]
+        use = self._use_by_part[key]
         use.count -= 1
         if not use.count:
-            del self._uses_by_part[key]
+            del self._use_by_part[key]
             self._tokens_by_priority[use.priority] -= use.tokens
 
     def record_first_event(self, number: tuple[str, int]) -> None:
-        """Take that the first event of a request came, so that its prompt was read."""
+        """Record the first event of a request, which ends its prefill."""
         sent = self.by_number.get(number)
         if sent is not None and sent.first_at is None:
             sent.first_at = clocks.now_s()
             if sent.observation is not None:
-                self.service_time.record(sent.observation, sent.first_at - sent.at)
+                self.service_time.record(sent.observation, sent.first_at - sent.sent_at)
             self._drop_prefill(sent)
 
-    def _drop_prefill(self, sent: Sent) -> None:
+    def _drop_prefill(self, sent: SentRequest) -> None:
         left_s = self._prefill_by_priority[sent.priority] - sent.prefill_s
         self._prefill_by_priority[sent.priority] = max(0.0, left_s)
 
@@ -198,7 +202,7 @@
         self.memory_run_s += weight * (run_s - self.memory_run_s)
 
     def end(self, number: tuple[str, int]) -> None:
-        """Take that a request ended."""
+        """Record that a request ended."""
         sent = self.by_number.get(number)
         if sent is None:
             return
@@ -214,38 +218,38 @@
         self._requests_by_priority[sent.priority] -= 1
 
     def backlog(self, priority: int) -> Backlog:
-        """Return what stands at the engine for a request of this urgency."""
-        steps = priority + 1
+        """Return what is queued and running ahead of a request of this priority."""
+        levels = priority + 1
         requests = _sum_rows([tuple(self._requests_by_priority), tuple(self._remote_requests())])
         return Backlog(
             queued_prefill_s=self._queued_prefill_s(priority) * self.service_time.factor,
-            tokens=sum(self._tokens_by_priority[:steps]) + sum(self._remote_tokens()[:steps]),
+            tokens=sum(self._tokens_by_priority[:levels]) + sum(self._remote_tokens()[:levels]),
             requests=sum(requests),
-            lower_priority=sum(requests[steps:]),
+            lower_priority=sum(requests[levels:]),
             run_s=self.run_s,
             memory_run_s=self.memory_run_s,
         )
 
     def _queued_prefill_s(self, priority: int) -> float:
-        """Return the nominal time until all that is as urgent is read."""
-        steps = priority + 1
-        return sum(self._prefill_by_priority[:steps]) + sum(self._remote_prefill()[:steps])
+        """Return the nominal time to prefill everything of the same or a higher priority."""
+        levels = priority + 1
+        return sum(self._prefill_by_priority[:levels]) + sum(self._remote_prefill()[:levels])
 
     def _expire_old(self) -> None:
         oldest_at = clocks.now_s() - REQUEST_TTL_S
         while self.by_number:
             number, sent = next(iter(self.by_number.items()))
-            if sent.at > oldest_at:
+            if sent.sent_at > oldest_at:
                 return
             self.end(number)
 
 
 def _sum_rows(rows: list[tuple[int, ...]]) -> list[int]:
-    """Add rows by urgency, each of which may lack zeros at its end."""
+    """Add rows by priority; rows may omit trailing zeros."""
     total = [0] * PRIORITY_LEVELS
     for row in rows:
-        for step, value in enumerate(row[:PRIORITY_LEVELS]):
-            total[step] += value
+        for level, value in enumerate(row[:PRIORITY_LEVELS]):
+            total[level] += value
     return total
 
 
@@ -257,7 +261,7 @@
 
 
 def _subtract(reported: LoadSum, own: LoadSum) -> LoadSum:
-    """Return the rest of a sum that counted the own requests as well."""
+    """Return a reported sum without this host's own requests, which it includes."""
     return LoadSum(
         _subtract_row(reported.prefill_ms, own.prefill_ms),
         _subtract_row(reported.tokens, own.tokens),
@@ -265,13 +269,13 @@
     )
 
 
-def _subtract_row(row: tuple[int, ...], taken: tuple[int, ...]) -> tuple[int, ...]:
-    padded = (*taken, *(0,) * (len(row) - len(taken)))
-    return tuple(max(0, each - less) for each, less in zip(row, padded, strict=False))
+def _subtract_row(row: tuple[int, ...], subtracted: tuple[int, ...]) -> tuple[int, ...]:
+    padded = (*subtracted, *(0,) * (len(row) - len(subtracted)))
+    return tuple(max(0, each - decrease) for each, decrease in zip(row, padded, strict=False))
 
 
 class EngineMemory:
-    """The parts that an engine probably keeps: those used last, as far as its memory goes."""
+    """The parts an engine probably has cached: the most recently used that fit its memory."""
 
     def __init__(self, capacity_tokens: int) -> None:
         self.capacity_tokens = capacity_tokens
@@ -279,7 +283,7 @@
         self._used = 0
 
     def record_use(self, salt: str, parts: tuple[Part, ...]) -> None:
-        """Take that a request with these parts was sent to the engine."""
+        """Record that a request with these parts was sent to the engine."""
         for part in parts:
             key = (salt, part.id)
             if key not in self._tokens_by_part:
@@ -291,7 +295,7 @@
             self._used -= tokens
 
     def cached_prefix_tokens(self, salt: str, parts: tuple[Part, ...]) -> int:
-        """Return the tokens of the leading parts that the engine probably keeps."""
+        """Return the tokens of the leading parts that the engine probably has cached."""
         tokens = 0
         for part in parts:
             if (salt, part.id) not in self._tokens_by_part:
@@ -300,6 +304,6 @@
         return tokens
 
     def clear(self) -> None:
-        """Forget everything: new weights drop all that was kept."""
+        """Clear all parts: loading new weights invalidates the cache."""
         self._tokens_by_part.clear()
         self._used = 0
--- a/libs/serving/ruddersaddle_serving/tests/fixed_clocks.py
+++ b/libs/serving/ruddersaddle_serving/tests/fixed_clocks.py
@@ -1,4 +1,4 @@
-"""A steady clock that stands still until a test moves it."""
+"""A monotonic clock that advances only when a test moves it."""
 
 import unittest
 from unittest import mock
@@ -7,7 +7,7 @@
 
 
 class FixedClockTest(unittest.TestCase):
-    """A test whose `clocks.now_s` returns `self.now`."""
+    """A test case in which `clocks.now_s` returns `self.now`."""
 
     def setUp(self) -> None:
         self.now = 100.0
--- a/libs/serving/ruddersaddle_serving/tests/test_engine_loads.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_engine_loads.py
@@ -1,4 +1,4 @@
-"""Tests of what hosts know of the requests at an engine."""
+"""Tests of the estimated load and cache of an engine."""
 
 import unittest
 
@@ -13,7 +13,7 @@
         super().setUp()
         self.load = EngineLoad()
 
-    def test_reading_counts_until_the_first_event_and_memory_until_the_end(self) -> None:
+    def test_prefill_counts_until_the_first_event_and_memory_until_the_end(self) -> None:
         self.load.add(("a", 1), 1, 0.1, 1000)
         self.load.add(("b", 1), 1, 0.2, 500)
         self.assertAlmostEqual(wait_s(self.load, 1, 10, 9000), 0.3)
@@ -26,13 +26,13 @@
         self.load.end(("a", 1))
         self.assertEqual(self.load.tokens, 500)
 
-    def test_requests_of_a_host_that_is_gone_are_forgotten(self) -> None:
+    def test_requests_of_a_host_that_is_gone_expire(self) -> None:
         self.load.add(("gone", 1), 0, 0.1, 1000)
         self.now += 9.0
         self.load.add(("here", 1), 0, 0.1, 10)
         self.assertEqual(self.load.tokens, 10)
 
-    def test_wait_for_memory_is_what_runs_must_leave(self) -> None:
+    def test_wait_for_memory_depends_on_what_runs_must_release(self) -> None:
         self.load.memory_run_s = 2.0
         self.load.add(("a", 1), 1, 0.1, 900)
         self.load.record_first_event(("a", 1))
@@ -51,18 +51,18 @@
         self.load.end(("b", 1))
         self.assertEqual(self.load.tokens, 0)
 
-    def test_wait_for_a_slot_is_what_runs_must_end(self) -> None:
+    def test_wait_for_a_slot_depends_on_runs_that_must_end(self) -> None:
         self.load.run_s = 0.6
         for number in range(5):
             self.load.add(("a", number), 1, 0.01, 10)
         self.assertAlmostEqual(wait_s(self.load, 1, 10, 9000, slots=12), 0.05)
         self.assertAlmostEqual(wait_s(self.load, 1, 10, 9000, slots=4), 0.3)
-        # What is more urgent goes first, but not before one of the runs has ended.
+        # A higher priority goes first, but still waits until one of the runs ends.
         self.assertAlmostEqual(wait_s(self.load, 0, 10, 9000, slots=4), 0.15)
         self.assertAlmostEqual(wait_s(self.load, 0, 10, 9000, slots=6), 0.0)
 
-    def test_memory_comes_free_by_the_runs_that_hold_it(self) -> None:
-        """Found on a day with engines lost: waits of 1.5 s were predicted as 0.3 s."""
+    def test_wait_for_memory_uses_run_lengths_weighted_by_memory(self) -> None:
+        """With the plain mean length of runs, waits of 1.5 s were predicted as 0.3 s."""
         for number in range(200):
             for name, tokens, run_s in (("short", 100, 0.1), ("long", 4000, 3.0)):
                 self.load.add((name, number), 1, 0.01, tokens)
@@ -74,7 +74,7 @@
         self.assertGreater(wait_s(self.load, 1, 1000, 1000), 2.0)
         self.assertLess(self.load.run_s, 2.0)
 
-    def test_pace_follows_what_first_events_take(self) -> None:
+    def test_service_time_follows_observed_first_events(self) -> None:
         for number in range(400):
             prefill_s = (0.005, 0.1, 0.4)[number % 3]
             self.load.add(("a", number), 1, prefill_s, 10, fetch_s=0.05)
@@ -86,7 +86,7 @@
         self.load.add(("a", 999), 1, 0.1, 10)
         self.assertAlmostEqual(wait_s(self.load, 1, 10, 9000), 0.3, delta=0.01)
 
-    def test_pace_is_not_learned_from_requests_that_wait_for_memory(self) -> None:
+    def test_requests_that_wait_for_memory_are_not_observed(self) -> None:
         self.load.add(("a", 0), 1, 0.1, 1000, capacity_tokens=1000)
         for number in range(1, 60):
             self.load.add(("a", number), 1, 0.1, 10, capacity_tokens=1000)
@@ -95,7 +95,7 @@
             self.load.record_first_event(("a", number))
         self.assertEqual(self.load.service_time.factor, 1.0)
 
-    def test_what_is_less_urgent_is_not_waited_for(self) -> None:
+    def test_lower_priorities_are_not_waited_for(self) -> None:
         self.load.add(("a", 1), 2, 0.3, 5000)
         self.load.add(("a", 2), 0, 0.1, 10)
         waits = [wait_s(self.load, priority, 10, 1000) for priority in (0, 1, 9)]
@@ -103,13 +103,13 @@
 
 
 class EngineMemoryTest(unittest.TestCase):
-    def test_least_recently_used_parts_give_way(self) -> None:
+    def test_least_recently_used_parts_are_evicted(self) -> None:
         a, b, c = (Part(PartId(name), 40) for name in "abc")
         memory = EngineMemory(100)
         for part in (a, b, a, c):
             memory.record_use("s", (part,))
-        kept = [memory.cached_prefix_tokens("s", (part,)) for part in (a, b, c)]
-        self.assertEqual(kept, [40, 0, 40])
+        cached = [memory.cached_prefix_tokens("s", (part,)) for part in (a, b, c)]
+        self.assertEqual(cached, [40, 0, 40])
         self.assertEqual(memory.cached_prefix_tokens("other", (a,)), 0)
 
     def test_only_leading_parts_count(self) -> None:
