--- a/libs/serving/ruddersaddle_serving/tests/test_trackers.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_trackers.py
@@ -1,4 +1,4 @@
-"""Tests of what a host knows of upstreams."""
+"""Tests of the trackers of upstreams."""
 
 import unittest
 
@@ -27,14 +27,14 @@
 
 
 class MemoryTest(unittest.TestCase):
-    def test_engine_that_has_just_come_has_its_memory_at_once(self) -> None:
+    def test_new_engine_has_its_memory_size_at_once(self) -> None:
         trackers = Trackers()
         trackers.apply_route_table(make_table(1000))
         tracker = trackers.get_or_create(make_entry("e-1"))
         tracker.apply_notice("host", Notice(tracker.id, 1, Progress.SENT, ASSIGNMENT))
         self.assertEqual(tracker.memory.cached_prefix_tokens("m/1", PARTS), 100)
 
-    def test_new_configuration_changes_the_memory_of_known_engines(self) -> None:
+    def test_new_configuration_changes_the_memory_size_of_known_engines(self) -> None:
         trackers = Trackers()
         tracker = trackers.get_or_create(make_entry("e-1"))
         for tokens in (1000, 500):
@@ -48,22 +48,22 @@
         self.trackers = Trackers()
         self.old = self.trackers.get_or_create(make_entry("e-1"))
 
-    def test_upstream_at_the_address_of_a_new_one_has_ended(self) -> None:
+    def test_upstream_at_the_address_of_a_new_one_is_replaced(self) -> None:
         self.now += 5.0
         new = self.trackers.get_or_create(make_entry("e-2"))
         self.assertEqual((self.old.is_healthy, new.is_healthy), (False, True))
 
-    def test_of_two_in_the_first_list_either_may_be_the_newer(self) -> None:
+    def test_two_upstreams_in_the_first_list_both_stay_healthy(self) -> None:
         new = self.trackers.get_or_create(make_entry("e-2"))
         self.assertEqual((self.old.is_healthy, new.is_healthy), (True, True))
 
-    def test_refusal_that_another_host_got_counts(self) -> None:
+    def test_replacement_reported_by_another_host_counts(self) -> None:
         self.old.apply_notice("other", Notice(self.old.id, 1, Progress.REPLACED))
         self.assertFalse(self.old.is_healthy)
 
 
-class StartsTest(FixedClockTest):
-    """Starts under one id, told apart by when they were born."""
+class InstancesTest(FixedClockTest):
+    """Instances under one id, distinguished by their time of birth."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -74,23 +74,23 @@
         self.now += 5.0
         self.new = self.trackers.get_or_create(make_entry("e-1", 2000))
 
-    def test_next_start_begins_with_nothing_of_the_one_before(self) -> None:
+    def test_next_instance_inherits_no_state(self) -> None:
         self.assertIs(self.trackers.by_id[self.old.id], self.new)
         self.assertEqual((self.old.is_healthy, self.new.is_healthy), (False, True))
         self.assertEqual(self.new.version_by_model, {})
         self.assertEqual(self.new.load.tokens, 0)
 
-    def test_late_word_of_the_end_of_the_one_before_leaves_it_sound(self) -> None:
+    def test_late_notice_about_the_previous_instance_leaves_it_healthy(self) -> None:
         self.new.apply_notice("other", Notice(self.old.id, 2, Progress.REPLACED, born_ms=1000))
         self.assertTrue(self.new.is_healthy)
 
-    def test_word_of_its_own_end_counts(self) -> None:
+    def test_notice_of_its_own_replacement_counts(self) -> None:
         self.new.apply_notice("other", Notice(self.old.id, 2, Progress.REPLACED, born_ms=2000))
         self.assertFalse(self.new.is_healthy)
 
 
 class LimitTest(FixedClockTest):
-    def test_limit_outlasts_an_entry_that_goes_and_comes_back(self) -> None:
+    def test_limit_survives_an_entry_that_is_removed_and_returns(self) -> None:
         trackers = Trackers()
         entry = make_entry("e-1", 1000)
         trackers.get_or_create(entry).reported.rate_limit.take(
@@ -99,7 +99,7 @@
         trackers.keep_only(set())
         self.assertEqual(trackers.get_or_create(entry).reported.rate_limit.bound_per_s(), 2.1)
 
-    def test_limit_of_a_start_says_nothing_of_the_next_one(self) -> None:
+    def test_limit_of_an_instance_does_not_apply_to_the_next_one(self) -> None:
         trackers = Trackers()
         trackers.get_or_create(make_entry("e-1", 1000)).reported.rate_limit.take(
             LimitNews(2.1, False, RequestId("q"))
@@ -110,13 +110,13 @@
 
 
 class OutcomesTest(unittest.TestCase):
-    def test_outcome_that_another_host_saw_counts(self) -> None:
+    def test_outcome_reported_by_another_host_counts(self) -> None:
         tracker = Trackers().get_or_create(make_entry("e-1"))
         for number in range(5):
             tracker.apply_notice("other", Notice(tracker.id, number, Progress.ENDED, failed=True))
         self.assertFalse(tracker.is_healthy)
 
-    def test_end_that_says_nothing_of_the_upstream_does_not_count(self) -> None:
+    def test_end_without_an_outcome_does_not_count(self) -> None:
         tracker = Trackers().get_or_create(make_entry("e-1"))
         for number in range(5):
             tracker.apply_notice("other", Notice(tracker.id, number, Progress.ENDED))
--- a/libs/serving/ruddersaddle_serving/trackers.py
+++ b/libs/serving/ruddersaddle_serving/trackers.py
@@ -1,4 +1,4 @@
-"""What this host knows of each upstream from its own requests."""
+"""Tracks the load, health and self-reported state of each upstream."""
 
 import logging
 from collections import deque
@@ -28,101 +28,100 @@
 logger = logging.getLogger(__name__)
 
 OUTCOME_WEIGHT = 0.2
-"""Weight of the newest outcome in the mean share of failures: about the last ten count."""
+"""Weight of the latest outcome in the moving failure rate, which covers about the last ten."""
 FAILURE_RATE_MAX = 0.35
-"""An upstream that fails more than this share is left out while others are there. Sound
-upstreams answer up to a seventh of a kind of request with an error of their own."""
+"""An upstream with a higher failure rate gets no requests while others are available. Healthy
+upstreams answer up to a seventh of some kinds of requests with an error of their own."""
 FAILURE_HALF_LIFE_S = 3.0
-"""A share of failures halves in this time without requests, so that an upstream is tried again."""
+"""The failure rate halves in this time without requests, so that an upstream is tried again."""
 CONNECT_BACKOFF_S = 0.5
-"""An upstream that took no connection is left out this long, then twice as long each time."""
+"""An upstream that refused a connection gets no requests for this long, doubled each time."""
 CONNECT_BACKOFF_MAX_S = 4.0
 SENDS_MAX = 1024
-"""Moments of sends that are kept for each upstream; what a host may send to a cold one in a second
-is less."""
+"""Send times recorded per upstream; a host may send fewer requests a second to a cold one."""
 REPORTED_MAX = 1000
-"""Starts without an entry of which it is kept what they said of themselves."""
+"""Instances without an entry whose self-reported state is retained."""
 SAME_LISTING_S = 0.5
-"""Two upstreams at one address that became known within this time may stand in the first list that
-a host reads, which doesn't tell the older one."""
+"""Two upstreams at one address that became known within this time may both be in the first list
+that a host reads, which doesn't say which one is older."""
 
 
 class Progress(Enum):
-    """How far a request is at its upstream."""
+    """Step of a request at its upstream, or another observation of the upstream."""
 
     SENT = 0
     FIRST_EVENT = 1
-    """Its first event came, so its prompt was read."""
+    """The first event of the answer came, so the prefill is done."""
     ENDED = 2
     PROBE_ANSWERED = 3
     """No request: the upstream answered a probe."""
     REPLACED = 4
     """No request: another upstream answers at its address."""
     SELF_REPORTED = 5
-    """No step of the request: its answer said something of the upstream itself."""
+    """No step of the request: its answer reported state of the upstream itself."""
 
 
 class Reachability(Enum):
-    """What was heard of an upstream until a request ended."""
+    """What was received from an upstream before a request ended."""
 
     RESPONDED = 0
     NO_CONNECTION = 1
     NO_RESPONSE = 2
-    """It took the request, and nothing came, or its answer broke off."""
+    """It accepted the request, and no response came, or the response broke off."""
 
 
 class Assignment(msgspec.Struct, frozen=True, array_like=True):
-    """What a prompt means to the engine that it is sent to."""
+    """Load that a prompt adds to the engine that it is sent to."""
 
     salt: str
     parts: tuple[Part, ...]
     prefill_s: float
-    """Nominal time that reading what the engine lacks takes, in seconds."""
+    """Nominal prefill time of the tokens that the engine has not cached, in seconds."""
     tokens: int
     priority: int
     fetch_s: float = 0.0
-    """Time until its parts are fetched."""
+    """Time to fetch its parts from context stores."""
 
 
 class Notice(msgspec.Struct, frozen=True, array_like=True):
-    """One step of one request at an engine, as hosts tell one another."""
+    """One step of one request at an engine, as hosts send it to one another."""
 
     upstream: UpstreamId
     number: int
-    """The host's own number of the request."""
+    """Number that the sending host gave the request."""
     progress: Progress
     assignment: Assignment | None = None
     failed: bool | None = None
-    """How it ended; None where that says nothing about the upstream."""
+    """Whether it failed; None if its end says nothing about the upstream."""
     reachability: Reachability = Reachability.NO_RESPONSE
-    """What was heard of the upstream until it ended."""
+    """What was received from the upstream before it ended."""
     expected_s: float = 0.0
-    """Where it was sent: the time within which something should be heard."""
+    """With `SENT`: the time within which a response is expected."""
     born_ms: int | None = None
-    """Which start of the upstream it concerns; None where that is not told."""
+    """Identifies the instance of the upstream; None if it is unknown."""
     limit: LimitNews | None = None
-    """What an answer said of the upstream's limit."""
+    """Rate limit that an answer reported."""
     leave: Leave | None = None
-    """That the upstream said that it leaves."""
+    """Set if an answer reported that the upstream is leaving."""
 
 
 class RecentSends:
-    """When this host sent its latest requests to an upstream, on the steady clock."""
+    """Times at which this host sent its latest requests to an upstream, on the monotonic clock."""
 
     def __init__(self) -> None:
-        self._moments: deque[float] = deque(maxlen=SENDS_MAX)
+        self._sent_at: deque[float] = deque(maxlen=SENDS_MAX)
 
     def record(self, at: float) -> None:
-        """Take that a request leaves."""
-        self._moments.append(at)
+        """Record that a request is sent."""
+        self._sent_at.append(at)
 
     def count_since(self, moment: float) -> int:
-        """Return how many requests left after a moment, up to `SENDS_MAX`."""
-        return sum(at > moment for at in self._moments)
+        """Return how many requests were sent after a moment, up to `SENDS_MAX`."""
+        return sum(at > moment for at in self._sent_at)
 
 
 class Tracker:
-    """One upstream as this host's own requests show it."""
+    """State of one upstream instance, from this host's requests and the reports of other hosts."""
 
     def __init__(
         self,
@@ -137,7 +136,7 @@
         self.memory = EngineMemory(memory_tokens)
         self.version_by_model = dict(entry.version_by_model)
         self.avoided_until = 0.0
-        """The holder of the lease has it load weights until then, on the steady clock."""
+        """Until when it is loading weights for the lease holder, on the monotonic clock."""
         self.liveness = Liveness()
         self.sends = RecentSends()
         self.reported = reported or Reported()
@@ -148,7 +147,7 @@
         self._connect_failures = 0
         self._connect_backoff_until = 0.0
         self.is_replaced = False
-        """Whether another upstream answers at its address: this start of it has ended for good."""
+        """Whether another upstream answers at its address: this instance has ended for good."""
         self.created_at = clocks.now_s()
 
     @property
@@ -158,14 +157,14 @@
 
     @property
     def failure_rate(self) -> float:
-        """About the share of recent requests that failed, here or as others told."""
+        """Approximate failure rate of recent requests, observed here or reported by others."""
         age_s = clocks.now_s() - self._reported_at
-        told = self._reported_failure_rate if age_s < REPORT_TTL_S else 0.0
-        return max(self.observed_failure_rate, told)
+        reported = self._reported_failure_rate if age_s < REPORT_TTL_S else 0.0
+        return max(self.observed_failure_rate, reported)
 
     @property
     def observed_failure_rate(self) -> float:
-        """About the share of recent requests that failed, of those that this host hears of."""
+        """Approximate failure rate of the recent requests that this host knows of."""
         idle_s = clocks.now_s() - self._outcome_at
         return self._failure_rate * 0.5 ** (idle_s / FAILURE_HALF_LIFE_S)
 
@@ -178,51 +177,51 @@
 
     @property
     def is_unresponsive(self) -> bool:
-        """Whether it was sent requests, and no host has heard of it since."""
+        """Whether requests were sent to it, and no host has received anything since."""
         return self.liveness.unresponsive_since(clocks.now_s()) is not None
 
     @property
     def is_avoided(self) -> bool:
-        """Whether it is about to load weights, or loads them."""
+        """Whether it is loading weights or about to."""
         return clocks.now_s() < self.avoided_until
 
     def record_outcome(self, failed: bool) -> None:
-        """Count how a request ended."""
-        share = self.observed_failure_rate
-        self._failure_rate = share + OUTCOME_WEIGHT * (float(failed) - share)
+        """Record whether a request failed."""
+        rate = self.observed_failure_rate
+        self._failure_rate = rate + OUTCOME_WEIGHT * (float(failed) - rate)
         self._outcome_at = clocks.now_s()
         if not failed:
             self._connect_failures = 0
 
-    def apply_failure_rate(self, share: float) -> None:
-        """Take about the share of failures that another host observed."""
-        self._reported_failure_rate = share
+    def apply_failure_rate(self, rate: float) -> None:
+        """Apply the approximate failure rate that another host observed."""
+        self._reported_failure_rate = rate
         self._reported_at = clocks.now_s()
 
     def record_replaced(self) -> None:
-        """Take that another upstream answers at this one's address.
+        """Record that another upstream answers at this one's address.
 
-        The entry stays for some seconds. What is sent is refused at once, so that it looks idle,
-        which would draw all work to it. While each host found that alone, three restarts of a third
-        of 50 engines had 850 prompts of 5,000 refused in 9 s.
+        The entry remains for some seconds. Requests are refused immediately, so that the upstream
+        looks idle and would attract all load. Without sharing this between hosts, three restarts of
+        a third of 50 engines caused 850 of 5,000 prompts to be refused within 9 s.
         """
         if not self.is_replaced:
-            logger.info("Upstream %s is gone; another one is at its address.", self.id)
+            logger.info("Upstream %s is gone; another upstream answers at its address.", self.id)
         self.is_replaced = True
 
     def record_connect_failure(self) -> None:
-        """Count a connection that did not come about."""
-        off_s = min(CONNECT_BACKOFF_MAX_S, CONNECT_BACKOFF_S * 2**self._connect_failures)
+        """Record that no connection could be opened."""
+        backoff_s = min(CONNECT_BACKOFF_MAX_S, CONNECT_BACKOFF_S * 2**self._connect_failures)
         self._connect_failures += 1
-        self._connect_backoff_until = clocks.now_s() + off_s
+        self._connect_backoff_until = clocks.now_s() + backoff_s
 
     def apply_notice(self, host: str, notice: Notice) -> None:
-        """Take how far a request of this host or another one is."""
+        """Apply a notice of this host or of another one."""
         if (
             None not in (notice.born_ms, self.entry.born_ms)
             and notice.born_ms != self.entry.born_ms
         ):
-            # Said of the end of an earlier start, it would take this one out for good.
+            # A notice that an earlier instance was replaced would exclude this one for good.
             return
         number = (host, notice.number)
         now = clocks.now_s()
@@ -262,13 +261,13 @@
     def apply_self_report(
         self, report: SelfReport, request: RequestId | None, is_ordinary: bool
     ) -> Notice | None:
-        """Take what an answer to this host says of the upstream; return what all hosts should know.
+        """Apply what an answer reports of the upstream; return the notice for all hosts.
 
-        `request` is None where the answer is to a call of this host's own.
+        `request` is None if the answer is to one of this host's own calls.
         """
         self._apply_backoff(report.rest_s, request)
         if isinstance(report.limit_per_s, Failure):
-            self._warn_unreadable(report.limit_per_s, request)
+            self._warn_malformed(report.limit_per_s, request)
         limit = self.reported.rate_limit.after(report, request, is_ordinary)
         if limit is None and not report.leaving:
             return None
@@ -280,31 +279,31 @@
 
     def _apply_backoff(self, rest_s: float | Failure, request: RequestId | None) -> None:
         if isinstance(rest_s, Failure):
-            self._warn_unreadable(rest_s, request)
+            self._warn_malformed(rest_s, request)
         elif self.reported.rest(rest_s):
             logger.info(
-                "Upstream %s wants nothing for %.1f s.",
+                "Upstream %s asked for a backoff of %.1f s.",
                 self.entry.start,
                 rest_s,
                 extra={"request": request},
             )
 
-    def _warn_unreadable(self, failure: Failure, request: RequestId | None) -> None:
+    def _warn_malformed(self, failure: Failure, request: RequestId | None) -> None:
         logger.warning(
-            "Answer of upstream %s can't be read: %s.",
+            "Self-report in an answer of upstream %s is malformed: %s.",
             self.entry.start,
             failure.detail,
             extra={"request": request},
         )
 
     def apply_limit(self, news: LimitNews | None, reporter: str, is_first_hand: bool) -> None:
-        """Take what the upstream said of its limit, as a host tells, first hand or not."""
+        """Apply the upstream's rate limit as reported by a host, first hand or not."""
         if news is None:
             return
         change = self.reported.rate_limit.take(news, is_first_hand)
         if change is not LimitChange.NONE:
             logger.info(
-                "Limit of upstream %s has %s: %.2f requests a second.",
+                "Rate limit of upstream %s has %s: %.2f requests a second.",
                 self.entry.start,
                 change.value,
                 news.per_s,
@@ -327,13 +326,13 @@
                 self.liveness.record_abandoned(number, now)
 
     def apply_entry(self, entry: UpstreamEntry) -> None:
-        """Take a newer entry; versions of weights never go back within one start."""
+        """Apply a newer entry; versions of weights never go back within one instance."""
         self.entry = entry
         for model, version in entry.version_by_model.items():
             self.record_version(model, version)
 
     def record_version(self, model: str, version: int) -> None:
-        """Take that the upstream has these weights of a model now."""
+        """Record that the upstream has loaded these weights of a model."""
         known = self.version_by_model.get(model, 0)
         if version > known:
             self.version_by_model[model] = version
@@ -346,11 +345,12 @@
     def __init__(self) -> None:
         self.by_id: dict[UpstreamId, Tracker] = {}
         self._reported_by_instance: dict[UpstreamStart, Reported] = {}
-        """What starts said whose entries were taken out, the latest last; entries come back."""
+        """State reported by instances whose entries were removed, latest last; entries may
+        return."""
         self._memory_by_pool: dict[PoolId, int] = {}
 
     def apply_route_table(self, table: RouteTable) -> None:
-        """Take the size of engines' memory from a configuration."""
+        """Apply the memory sizes of engines from a configuration."""
         self._memory_by_pool = {
             pool.id: pool.engine.cache_tokens
             for pool in table.published.pools
@@ -363,11 +363,11 @@
         return self._memory_by_pool.get(entry.pool, 0)
 
     def get_or_create(self, entry: UpstreamEntry) -> Tracker:
-        """Return the tracker of an entry."""
+        """Return the tracker of an entry; a new instance gets a new one."""
         tracker = self.by_id.get(entry.id)
         if tracker is None or entry.is_later_than(tracker.entry):
-            # Nothing that is known of an earlier start holds for this one. Runs that are still
-            # under way there keep the tracker that they began with.
+            # State of an earlier instance doesn't apply to this one. Requests in flight keep the
+            # tracker that they started with.
             if tracker is not None:
                 tracker.connections.close()
             reported = self._reported_by_instance.pop(entry.start, None)
@@ -380,14 +380,14 @@
         return tracker
 
     def _mark_predecessors_replaced(self, tracker: Tracker) -> None:
-        """Take that what was at the address of a new upstream has ended."""
+        """Mark upstreams as replaced that were at the address of a new one."""
         for each in self.by_id.values():
             is_older = tracker.created_at - each.created_at > SAME_LISTING_S
             if is_older and each.entry.address == tracker.entry.address:
                 each.record_replaced()
 
     def _typical_service_time(self, pool: PoolId) -> ServiceTime:
-        """Return the middle pace of a pool's engines, with which a new one begins."""
+        """Return the median service time of a pool's engines, the initial value for a new one."""
         service_times = [
             each.load.service_time for each in self.by_id.values() if each.entry.pool == pool
         ]
@@ -397,7 +397,7 @@
         return ServiceTime(factor, median_low([each.overhead_s for each in service_times]))
 
     def keep_only(self, upstreams: set[UpstreamId]) -> None:
-        """Forget upstreams that are gone and have no request under way."""
+        """Remove upstreams that are gone and have no request in flight."""
         for gone in set(self.by_id) - upstreams:
             if not self.by_id[gone].in_flight:
                 self._forget(self.by_id.pop(gone))
