--- a/libs/serving/ruddersaddle_serving/load_shares.py
+++ b/libs/serving/ruddersaddle_serving/load_shares.py
@@ -1,8 +1,8 @@
-"""How hosts share what they know of requests at engines.
+"""Exchanges the load of engines between hosts.
 
-Few hosts tell one another of each step of each request. Many hosts tell the reader of their hall,
-which sums them up, exchanges sums with the readers of other halls, and tells its hall the totals:
-messages then grow with the hosts, and not with hosts times requests.
+A few hosts send one another each step of each request. Many hosts send them to the reader of their
+hall, which aggregates them, exchanges sums with the readers of other halls, and sends the totals to
+its hall. The number of messages then grows with the hosts, not with hosts times requests.
 """
 
 import itertools
@@ -24,35 +24,36 @@
 from ruddersaddle_serving.upstream_lists import UpstreamList
 
 DIRECT_HOSTS_MAX = 12
-"""Up to so many hosts tell one another directly; above, 85 hosts would each get 2,000 messages a
-second (docs/CAPACITY.md)."""
+"""Up to this many hosts notify one another directly. With 85 hosts, each would receive 2,000
+messages a second."""
 NOTICE_INTERVAL_S = 0.01
-"""Pause between messages about requests at engines. A prompt takes 5 to 200 ms to read, so that
-what others sent has to be known within some ten milliseconds."""
+"""Interval of messages with notices. The prefill of a prompt takes 5 to 200 ms, so requests sent by
+others have to be known within about ten milliseconds."""
 READER_NOTICE_INTERVAL_S = 0.02
-"""The same to the reader of a hall, whose totals are older in any case. A message costs both ends
-about 0.2 ms of processor time, system calls included."""
+"""Interval of notices to the reader of a hall, whose totals are older in any case. A message costs
+sender and receiver about 0.2 ms of CPU time each, including system calls."""
 SUM_INTERVAL_S = 0.04
-"""Pause between sums that readers tell one another: a message for each two halls."""
+"""Interval of the sums that readers send one another: one message for each pair of halls."""
 SUMS_PER_TOTAL = 2
-"""Totals go to a hall with each so many sums, 0.08 s apart. By beliefs of 0.25 s hosts send 120
-prompts at once to what looks idle; but a message of 105 engines is 5.4 KB, and decoding and taking
-it 0.17 ms, on each host of a hall (a loop on one machine, system calls not counted)."""
+"""Totals are sent to a hall once per this many sums, every 0.08 s. With a view that is 0.25 s old,
+hosts send 120 prompts at the same moment to an engine that looks idle. More often costs CPU time: a
+message of 105 engines has 5.4 KB, and decoding and applying it takes 0.17 ms on each host of a
+hall, without system calls."""
 RESPONSE_AGE_MAX_MS = 60_000
-"""Longest time since a sign of life that is told."""
+"""Longest time since a response that is reported."""
 ROLE_CHECK_INTERVAL_S = 0.5
-"""Pause of a host that sums nothing until it looks again whether it should."""
+"""Interval at which a host that doesn't aggregate checks whether it should."""
 
 
 class Notices(msgspec.Struct, frozen=True, tag="notices"):
-    """Tells how far the sender's requests are at engines; it is not answered."""
+    """Message with steps of the sender's requests at engines; it is not answered."""
 
     address: str
     notices: tuple[Notice, ...]
 
 
 class EngineSum(msgspec.Struct, frozen=True, array_like=True):
-    """What stands at one engine, and about the share of its recent requests that failed."""
+    """Load and health of one engine, with the approximate failure rate of its recent requests."""
 
     upstream: UpstreamId
     load: LoadSum
@@ -60,25 +61,25 @@
     run_ms: int
     """Mean length of a run from its first event."""
     memory_run_ms: int = 1000
-    """The same weighed by the tokens of runs."""
+    """Mean length of a run weighted by tokens."""
     prefill_percent: int = 100
-    """What reading takes, as a share of the nominal time."""
+    """Observed prefill time, as a percentage of the nominal time."""
     response_age_ms: int = RESPONSE_AGE_MAX_MS
-    """How long ago any host heard of it."""
+    """Time since any host received something from it."""
     unresponsive_ms: int | None = None
-    """For how long it has been silent; None where it is not."""
+    """For how long it has been unresponsive; None if it is not."""
     is_replaced: bool = False
     """Whether another upstream answers at its address."""
     born_ms: int | None = None
-    """Which start of it this is; None where that is not told."""
+    """Identifies its instance; None if it is unknown."""
     overhead_ms: float = OVERHEAD_S * 1000
-    """Time that first events take beside reading."""
+    """Time to a first event beside queueing and prefill."""
     limit: LimitNews | None = None
-    """What is known of the limit that it names."""
+    """Its latest known rate limit."""
 
 
 class LoadSums(msgspec.Struct, frozen=True, tag="load_sums"):
-    """Tells what stands at engines: of the sender's hall, or everything where it is a total."""
+    """Message with the load of engines: by the sender's hall, or by all halls if it is a total."""
 
     address: str
     is_total: bool
@@ -86,7 +87,7 @@
 
 
 class LoadExchange:
-    """Tells and takes requests at engines."""
+    """Sends this host's load reports and applies those of other hosts."""
 
     def __init__(
         self, hosts: Hosts, peers: Peers, trackers: Trackers, upstreams: UpstreamList
@@ -99,17 +100,17 @@
         self._is_scheduled = False
 
     def start(self) -> None:
-        """Start the task that tells totals; notices are told when there are some."""
+        """Start the task that sends sums and totals; notices are sent as they come up."""
         spawn_forever("totals", self._send_totals)
 
     @property
     def is_direct(self) -> bool:
-        """Whether hosts are few enough to tell one another of each request."""
+        """Whether there are few enough hosts to notify one another of each request."""
         return self.hosts.count <= DIRECT_HOSTS_MAX
 
     @property
     def lag_s(self) -> float:
-        """How much older than direct notices the knowledge of others' requests is, in seconds."""
+        """How much older than direct notices the view of others' requests is, in seconds."""
         return (
             0.0
             if self.is_direct
@@ -117,7 +118,7 @@
         )
 
     def broadcast(self, notice: Notice) -> None:
-        """Take a step of an own request, and tell it with the next message."""
+        """Apply a step of an own request, and send it with the next message."""
         self._apply_notice(self.hosts.own.address, notice)
         self._unsent.append(notice)
         if not self._is_scheduled:
@@ -126,7 +127,7 @@
             eventlet.spawn_after(pause_s, self.send_notices)
 
     def send_notices(self) -> None:
-        """Tell what has not been told yet."""
+        """Send the notices that are pending."""
         self._is_scheduled = False
         if not self._unsent:
             return
@@ -136,7 +137,7 @@
         self.peers.tell_all([each for each in targets if not self._is_own(each)], message)
 
     def apply_notices(self, message: Notices) -> None:
-        """Take the steps of another host's requests."""
+        """Apply the steps of another host's requests."""
         for notice in message.notices:
             self._apply_notice(message.address, notice)
 
@@ -150,7 +151,7 @@
 
     @property
     def is_aggregating(self) -> bool:
-        """Whether this host sums up the requests of its hall."""
+        """Whether this host aggregates the requests of its hall."""
         return not self.is_direct and self._is_own(self.hosts.hall_reader())
 
     def _send_totals(self) -> None:
@@ -167,7 +168,7 @@
         return address == self.hosts.own.address
 
     def send_sums(self, is_total: bool) -> None:
-        """Tell other readers the sums of this hall, or this hall the totals."""
+        """Send the sums of this hall to the other readers, or the totals to this hall."""
         message = LoadSums(self.hosts.own.address, is_total, self._sums(is_total))
         targets = self.hosts.hall_addresses() if is_total else self._other_readers()
         self.peers.tell_all(targets, message)
@@ -182,7 +183,7 @@
         return tuple(_summarize(each, is_total, now) for each in self.trackers.by_id.values())
 
     def apply_sums(self, message: LoadSums) -> None:
-        """Take another reader's sums, or the totals of this hall's reader."""
+        """Apply the sums of another reader, or the totals of this hall's reader."""
         source = "hall" if message.is_total else message.address
         for reported in message.sums:
             tracker = self.trackers.by_id.get(reported.upstream)
@@ -202,7 +203,7 @@
 
 
 def _summarize(tracker: Tracker, is_total: bool, now: float) -> EngineSum:
-    """Return what stands at one engine: of this hall, or of all halls where it is a total."""
+    """Return the load and health of one engine: by this hall, or by all halls for a total."""
     liveness = tracker.liveness
     unresponsive_since = (
         liveness.unresponsive_since(now) if is_total else liveness.observed_unresponsive_since(now)
@@ -228,7 +229,7 @@
 
 
 def _apply_liveness(liveness: Liveness, source: str, reported: EngineSum) -> None:
-    """Take when others last heard of an upstream, and since when they find it silent."""
+    """Apply when others last received something, and since when they see it as unresponsive."""
     now = clocks.now_s()
     if reported.response_age_ms < RESPONSE_AGE_MAX_MS:
         liveness.record_response(now - reported.response_age_ms / 1000)
--- a/libs/serving/ruddersaddle_serving/tests/test_load_shares.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_load_shares.py
@@ -1,4 +1,4 @@
-"""Tests of how hosts share what they know of requests at engines."""
+"""Tests of the exchange of engine load between hosts."""
 
 import unittest
 
@@ -20,7 +20,7 @@
 
 
 class FakePeers:
-    """Carries messages between the shares of hosts, by address."""
+    """Delivers messages between the load exchanges of hosts, by address."""
 
     def __init__(self) -> None:
         self.by_address: dict[str, LoadExchange] = {}
@@ -29,11 +29,11 @@
     def tell_all(self, addresses: list[str], message: Notices | LoadSums) -> None:
         for address in addresses:
             self.sent += 1
-            shares = self.by_address[address]
+            exchange = self.by_address[address]
             if isinstance(message, Notices):
-                shares.apply_notices(message)
+                exchange.apply_notices(message)
             else:
-                shares.apply_sums(message)
+                exchange.apply_sums(message)
 
 
 def make_trackers() -> Trackers:
@@ -59,34 +59,34 @@
     return peers, list(peers.by_address.values())
 
 
-class LoadSharesTest(FixedClockTest):
+class LoadExchangeTest(FixedClockTest):
     def settle(self, fleet: list[LoadExchange]) -> None:
-        """Let every host tell its notices, then every reader its sums and totals."""
-        for shares in fleet:
-            shares.send_notices()
+        """Let every host send its notices, then every reader its sums and totals."""
+        for exchange in fleet:
+            exchange.send_notices()
         for is_total in (False, True):
-            for shares in fleet:
-                if shares.is_aggregating:
-                    shares.send_sums(is_total)
+            for exchange in fleet:
+                if exchange.is_aggregating:
+                    exchange.send_sums(is_total)
 
-    def send(self, shares: LoadExchange, number: int) -> None:
-        shares.broadcast(Notice(ENGINE, number, Progress.SENT, ASSIGNMENT))
+    def send(self, exchange: LoadExchange, number: int) -> None:
+        exchange.broadcast(Notice(ENGINE, number, Progress.SENT, ASSIGNMENT))
 
     def waits(self, fleet: list[LoadExchange]) -> set[float]:
-        loads = [shares.trackers.by_id[ENGINE].load for shares in fleet]
+        loads = [exchange.trackers.by_id[ENGINE].load for exchange in fleet]
         return {round(wait_s(load, 1, 10, CAPACITY), 3) for load in loads}
 
-    def test_few_hosts_hear_of_each_request(self) -> None:
+    def test_few_hosts_are_notified_of_each_request(self) -> None:
         _, fleet = make_fleet(2, 3)
-        for number, shares in enumerate(fleet):
-            self.send(shares, number)
+        for number, exchange in enumerate(fleet):
+            self.send(exchange, number)
         self.settle(fleet)
         self.assertEqual(self.waits(fleet), {0.3})
 
-    def test_many_hosts_hear_the_totals_of_all_halls(self) -> None:
+    def test_many_hosts_receive_the_totals_of_all_halls(self) -> None:
         peers, fleet = make_fleet(3, 8)
-        for number, shares in enumerate(fleet[::4]):
-            self.send(shares, number)
+        for number, exchange in enumerate(fleet[::4]):
+            self.send(exchange, number)
         self.settle(fleet)
         self.assertEqual(self.waits(fleet), {0.3})
         self.assertLessEqual(peers.sent, 24 + 3 * 2 + 3 * 7)
@@ -99,31 +99,31 @@
             self.settle(fleet)
         self.assertEqual(self.waits(fleet), {0.15})
 
-    def test_totals_of_a_reader_that_fell_silent_are_forgotten(self) -> None:
+    def test_totals_of_an_unresponsive_reader_expire(self) -> None:
         _, fleet = make_fleet(1, 20)
         self.send(fleet[0], 1)
         self.settle(fleet)
         self.now += 1.1
         self.assertEqual(self.waits(fleet[1:2]), {0.0})
 
-    def test_failures_that_any_host_saw_are_known_to_all_and_fade(self) -> None:
+    def test_failures_of_any_host_are_known_to_all_and_decay(self) -> None:
         _, fleet = make_fleet(2, 10)
         for number in range(8):
             fleet[number].broadcast(Notice(ENGINE, number, Progress.ENDED, failed=True))
         self.settle(fleet)
-        sound = {shares.trackers.by_id[ENGINE].is_healthy for shares in fleet}
-        self.assertEqual(sound, {False})
+        healthy = {exchange.trackers.by_id[ENGINE].is_healthy for exchange in fleet}
+        self.assertEqual(healthy, {False})
         for _ in range(8):
             self.now += 1.0
             self.settle(fleet)
-        sound = {shares.trackers.by_id[ENGINE].is_healthy for shares in fleet}
-        self.assertEqual(sound, {True})
+        healthy = {exchange.trackers.by_id[ENGINE].is_healthy for exchange in fleet}
+        self.assertEqual(healthy, {True})
 
-    def silent_count(self, fleet: list[LoadExchange]) -> int:
-        return sum(shares.trackers.by_id[ENGINE].is_unresponsive for shares in fleet)
+    def unresponsive_count(self, fleet: list[LoadExchange]) -> int:
+        return sum(exchange.trackers.by_id[ENGINE].is_unresponsive for exchange in fleet)
 
-    def test_dark_engine_that_one_host_finds_is_left_by_all(self) -> None:
-        """Each of 195 hosts found each of 16 dark engines with requests of callers."""
+    def test_unreachable_engine_that_one_host_detects_is_avoided_by_all(self) -> None:
+        """Else each of 195 hosts finds each of 16 unreachable engines with callers' requests."""
         _, fleet = make_fleet(3, 8)
         fleet[0].broadcast(Notice(ENGINE, 1, Progress.SENT, expected_s=0.1))
         self.now += 0.15
@@ -131,35 +131,37 @@
             Notice(ENGINE, 1, Progress.ENDED, reachability=Reachability.NO_CONNECTION)
         )
         self.settle(fleet)
-        self.assertEqual(self.silent_count(fleet), 24)
+        self.assertEqual(self.unresponsive_count(fleet), 24)
         for _ in range(30):
             self.now += 0.1
             self.settle(fleet)
-        self.assertEqual(self.silent_count(fleet), 24)
+        self.assertEqual(self.unresponsive_count(fleet), 24)
         fleet[9].broadcast(Notice(ENGINE, 2, Progress.PROBE_ANSWERED))
         self.settle(fleet)
-        self.assertEqual(self.silent_count(fleet), 0)
+        self.assertEqual(self.unresponsive_count(fleet), 0)
 
-    def test_engine_that_one_host_found_replaced_is_left_by_all(self) -> None:
+    def test_engine_that_one_host_found_replaced_is_avoided_by_all(self) -> None:
         _, fleet = make_fleet(3, 8)
         fleet[5].broadcast(Notice(ENGINE, 1, Progress.REPLACED))
         self.settle(fleet)
-        sound = {shares.trackers.by_id[ENGINE].is_healthy for shares in fleet}
-        self.assertEqual(sound, {False})
+        healthy = {exchange.trackers.by_id[ENGINE].is_healthy for exchange in fleet}
+        self.assertEqual(healthy, {False})
 
-    def test_limit_that_one_host_hears_of_holds_and_ends_on_all(self) -> None:
+    def test_limit_that_one_host_receives_holds_and_ends_on_all(self) -> None:
         for halls, in_hall in ((2, 3), (3, 8)):
             _, fleet = make_fleet(halls, in_hall)
             for ended in (False, True):
                 news = LimitNews(2.1, ended, RequestId("q"))
                 fleet[4].broadcast(Notice(ENGINE, 1, Progress.SELF_REPORTED, limit=news))
                 self.settle(fleet)
-                named = {each.trackers.by_id[ENGINE].reported.rate_limit.is_named for each in fleet}
+                limited = {
+                    each.trackers.by_id[ENGINE].reported.rate_limit.is_named for each in fleet
+                }
                 with self.subTest(halls=halls, ended=ended):
-                    self.assertEqual(named, {not ended})
+                    self.assertEqual(limited, {not ended})
                 self.now += 0.1
 
-    def test_leave_that_one_host_hears_of_is_known_to_all_of_few_and_to_the_reader(self) -> None:
+    def test_leave_that_one_host_receives_is_known_to_all_of_few_and_to_the_reader(self) -> None:
         for halls, in_hall, knowing in ((2, 3, 6), (1, 20, 2)):
             _, fleet = make_fleet(halls, in_hall)
             sender = next(each for each in fleet if not each.is_aggregating)
@@ -169,7 +171,7 @@
             with self.subTest(hosts=len(fleet)):
                 self.assertEqual(len(known), knowing)
 
-    def test_engine_that_others_hear_of_is_not_left(self) -> None:
+    def test_engine_that_responds_to_others_is_not_avoided(self) -> None:
         _, fleet = make_fleet(3, 8)
         for number in range(20):
             fleet[0].broadcast(Notice(ENGINE, number, Progress.SENT, expected_s=0.1))
@@ -180,7 +182,7 @@
             )
             fleet[20].broadcast(Notice(ENGINE, number, Progress.FIRST_EVENT))
             self.settle(fleet)
-            self.assertLessEqual(self.silent_count(fleet), 1)
+            self.assertLessEqual(self.unresponsive_count(fleet), 1)
 
 
 if __name__ == "__main__":
