--- a/libs/serving/ruddersaddle_serving/request_sizes.py
+++ b/libs/serving/ruddersaddle_serving/request_sizes.py
@@ -1,8 +1,8 @@
-"""What sizes requests of a route have lately, and how requests of each size end.
+"""Recent request sizes of each route, and counts of how requests of each size end.
 
-Sizes are tokens in and out. They are told apart by what came lately on the same route, not by fixed
-figures: a size that is large for one kind of request is common for another. On-call sees from the
-counts whether large requests are served.
+Sizes are input and output tokens. Size bands are relative to recent requests of the same route, not
+fixed numbers: a size that is large on one route is common on another. The counts show operators
+whether large requests are served.
 """
 
 from bisect import bisect_left, insort
@@ -17,13 +17,13 @@
 T = TypeVar("T")
 
 RECENT_SIZES = 200
-"""Requests of a route that sizes are told apart by: a host sees these in 20 to 200 s."""
+"""Requests of a route that a size is compared with: a host gets this many in 20 to 200 s."""
 ROUTES_MAX = 32
-"""Routes that are counted, those used last; a deployment has a few with sizes."""
+"""Number of most recently used routes that are counted; a deployment has a few with sizes."""
 
 
 class SizeBand(Enum):
-    """Where a size stands among those of its route, from the smallest up."""
+    """Rank of a size among the recent sizes of its route, in ascending order."""
 
     SMALLEST_HALF = "smallest_half"
     MIDDLE = "middle"
@@ -37,18 +37,18 @@
     (0.7, SizeBand.FIFTH_BELOW_LARGEST),
     (0.5, SizeBand.MIDDLE),
 )
-"""Share of the sizes that are smaller, from which on a size is in a band."""
+"""Lower bound of each band: the share of recent sizes that are smaller."""
 
 
 class RecentSizes:
-    """The sizes of the last requests of one route, in order of arrival and of size."""
+    """Sizes of the latest requests of one route, in order of arrival and of size."""
 
     def __init__(self) -> None:
         self._by_arrival: deque[int] = deque()
         self._by_size: list[int] = []
 
     def record(self, tokens: int) -> SizeBand:
-        """Take the size of a request; return where it stands among those before it."""
+        """Record the size of a request; return its band among the previous ones."""
         band = self._band(tokens)
         insort(self._by_size, tokens)
         self._by_arrival.append(tokens)
@@ -58,7 +58,7 @@
 
     @property
     def median(self) -> int:
-        """The middle one of the sizes; at least one has come."""
+        """Median of the sizes; at least one must have been recorded."""
         return self._by_size[len(self._by_size) // 2]
 
     def _band(self, tokens: int) -> SizeBand:
@@ -70,23 +70,23 @@
 
 
 class SizesByRoute:
-    """The sizes of lately used routes."""
+    """Sizes of the most recently used routes."""
 
     def __init__(self) -> None:
         self._by_route: OrderedDict[RouteName, RecentSizes] = OrderedDict()
 
     def record(self, route: RouteName, tokens: int) -> SizeBand:
-        """Take the size of a request; return where it stands among those of its route before it."""
+        """Record the size of a request; return its band among the previous ones of its route."""
         return _get_or_create(self._by_route, route, RecentSizes).record(tokens)
 
     def median_share(self, route: RouteName, tokens: int) -> float:
-        """Return what part of this size a common one of its route is; 1 where it is no larger."""
+        """Return the route's median size as a share of this size; at most 1."""
         recent = self._by_route.get(route)
         return 1.0 if recent is None else min(1.0, recent.median / max(1, tokens))
 
 
 class SizeCounts:
-    """Ends of requests by route, size and how they ended."""
+    """Counts how requests ended, by route and size band."""
 
     def __init__(self) -> None:
         self._sizes = SizesByRoute()
@@ -95,11 +95,11 @@
         )
 
     def record(self, route: RouteName, tokens: int) -> SizeBand:
-        """Take that a request of this size came; return where its size stands."""
+        """Record the size of a new request; return its band."""
         return self._sizes.record(route, tokens)
 
     def count_end(self, route: RouteName, band: SizeBand, end: str) -> None:
-        """Count how a request ended: served, or by what cause it was not."""
+        """Count the end of a request: served, or the cause why it was not."""
         _get_or_create(self._end_counts_by_route, route, Counter)[band, end] += 1
 
     def rows(self) -> list[tuple[Labels, int]]:
@@ -114,7 +114,7 @@
 def _get_or_create(
     by_route: OrderedDict[RouteName, T], route: RouteName, make: Callable[[], T]
 ) -> T:
-    """Return what is kept of a route, made if it is new; the routes used last are kept."""
+    """Return the value of a route, created if missing; evict the least recently used route."""
     if route not in by_route:
         by_route[route] = make()
     by_route.move_to_end(route)
--- a/libs/serving/ruddersaddle_serving/tests/test_request_sizes.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_request_sizes.py
@@ -1,4 +1,4 @@
-"""Tests of how requests are counted by size."""
+"""Tests of request sizes and of the counts by size."""
 
 import random
 import unittest
@@ -18,21 +18,21 @@
 
 
 class RecentSizesTest(unittest.TestCase):
-    def test_bands_hold_the_shares_that_they_are_named_by_whatever_the_sizes(self) -> None:
+    def test_bands_hold_their_shares_at_any_scale_of_sizes(self) -> None:
         for median in (100, 10_000):
-            draw = random.Random(median)
+            rng = random.Random(median)
             recent = RecentSizes()
-            sizes = [round(draw.lognormvariate(0, 0.7) * median) for _ in range(2000)]
+            sizes = [round(rng.lognormvariate(0, 0.7) * median) for _ in range(2000)]
             bands = Counter(recent.record(size) for size in sizes)
             self.assertAlmostEqual(bands[SizeBand.LARGEST_TENTH] / 2000, 0.1, delta=0.03)
             self.assertAlmostEqual(bands[SizeBand.FIFTH_BELOW_LARGEST] / 2000, 0.2, delta=0.03)
             self.assertAlmostEqual(bands[SizeBand.SMALLEST_HALF] / 2000, 0.5, delta=0.05)
 
-    def test_equal_sizes_are_none_of_them_large(self) -> None:
+    def test_equal_sizes_are_all_in_the_smallest_half(self) -> None:
         recent = RecentSizes()
         self.assertEqual({recent.record(500) for _ in range(50)}, {SizeBand.SMALLEST_HALF})
 
-    def test_what_is_large_follows_what_came_lately(self) -> None:
+    def test_bands_follow_recent_sizes(self) -> None:
         recent = RecentSizes()
         for size in range(RECENT_SIZES):
             recent.record(size)
@@ -43,7 +43,7 @@
 
 
 class SizeCountsTest(unittest.TestCase):
-    def test_metrics_tell_ends_by_route_and_size(self) -> None:
+    def test_metrics_show_ends_by_route_and_size(self) -> None:
         counts = SizeCounts()
         for _ in range(2):
             counts.count_end(ROUTE, counts.record(ROUTE, 500), "served")
@@ -58,7 +58,7 @@
             ],
         )
 
-    def test_routes_that_are_gone_are_forgotten(self) -> None:
+    def test_least_recently_used_routes_are_evicted(self) -> None:
         counts = SizeCounts()
         for number in range(ROUTES_MAX + 5):
             route = RouteName(f"r-{number}")
