--- a/libs/serving/ruddersaddle_serving/placements.py
+++ b/libs/serving/ruddersaddle_serving/placements.py
@@ -1,4 +1,4 @@
-"""Chooses the upstream of a request."""
+"""Chooses the upstream for a request."""
 
 import random
 from collections.abc import Callable, Iterator
@@ -21,31 +21,32 @@
 from ruddersaddle_serving.weighings import CostEstimator, Estimate
 
 CANDIDATES_MAX = 8
-"""Engines that are weighed for a prompt; choosing costs 9 us an engine. Which ones follows from
-what prompts share, so that few engines keep it."""
+"""Engines that are compared for a prompt; each costs 9 us. The candidates are selected by the parts
+that prompts share, so that only a few engines cache the same part."""
 CACHED_RANKINGS_MAX = 1000
-"""Affinities whose ranks of engines are kept."""
+"""Affinity keys whose engine rankings are cached."""
 OVERFLOW_SAMPLE_SIZE = 2
-"""Engines that are drawn where all candidates make a request wait too long."""
+"""Engines drawn at random if a request would wait too long at all candidates."""
 TIE_SHARE = 0.2
-"""Engines whose first events differ by less than the age of beliefs, and than this share of the
-target, are alike; one with an open connection is drawn. With 195 hosts and beliefs of 0.1 s the
-earliest engine each time had 4,440 connections opened in 9 s, this 3,300; of the worth asked for
-0.73 -> 0.78 was in time with 1.6 times the usual callers (replay)."""
+"""Engines count as tied if their times to first event differ by less than the age of this host's
+view and by less than this share of the target; one with an idle connection is drawn at random.
+Always taking the earliest engine makes hosts with the same outdated view open more connections
+(4,440 instead of 3,300 in 9 s, with 195 hosts and a view that is 0.1 s old) and miss more targets
+under 1.6 times the usual load."""
 VERSION_MARGIN_S = 2.5
-"""Old weights are left this long before the bound on them: it counts from the operator's write,
-of which this host hears up to a second later, and the request has to get there."""
+"""Old weights are avoided this long before their bound: the bound counts from the operator's write,
+which this host receives up to a second later, and the request still has to be delivered."""
 RETRY_SOON_S = 0.25
-"""When a caller should come back to a pool that has no usable upstream just now; a refused engine
-is back, or another one found, within some hundred milliseconds."""
+"""Retry-after for a pool that currently has no usable upstream; an engine that refused is available
+again, or another one is found, within some hundred milliseconds."""
 
 RETRY_EVACUATED_S = 1.0
-"""When a caller should come back to a pool whose halls are all evacuated: operators take seconds to
-take that back, and hosts hear of it within a second."""
+"""Retry-after for a pool whose halls are all evacuated: operators take seconds to revoke that, and
+hosts receive the change within a second."""
 
 
 class Choice(msgspec.Struct, frozen=True):
-    """An upstream for one try of a request, and what decided it."""
+    """An upstream for one attempt of a request, and the figures that led to the choice."""
 
     tracker: Tracker
     version: int | None
@@ -53,29 +54,28 @@
     candidates: int
     assignment: Assignment | None = None
     first_s: float = 0.0
-    """Time within which the upstream should be heard of: predicted for a prompt, else the
-    target."""
+    """Time within which a response is expected: predicted for a prompt, else the target."""
     wait_s: float = 0.0
-    """Predicted wait at the upstream before it begins to read."""
+    """Predicted wait at the upstream before the prefill starts."""
     covered_tokens: int = 0
-    """Tokens of the prompt that the engine is believed to keep."""
+    """Tokens of the prompt that the engine is estimated to have cached."""
     missing_tokens: int = 0
-    """Tokens that it has to read."""
+    """Tokens that the engine has to prefill."""
     weighed: tuple[str, ...] = ()
-    """Each engine that was weighed, for the log."""
+    """Summary of each engine that was compared, for the log."""
 
 
 class Candidates(msgspec.Struct, frozen=True):
-    """Engines that may take a prompt, in the order of its affinity."""
+    """Engines that may get a prompt, in the order of its affinity."""
 
     first: list[Tracker]
-    """Those that are weighed."""
+    """Engines that are always compared."""
     others: Iterator[Tracker]
-    """The rest, looked at only where the first ones make the prompt wait too long."""
+    """Remaining engines, considered only if the prompt would wait too long at the first ones."""
 
 
 class Placement:
-    """Chooses upstreams from entries, versions of weights, kept parts and this host's requests."""
+    """Chooses upstreams by their entries, weights, cached parts and load."""
 
     def __init__(
         self,
@@ -95,13 +95,13 @@
         self.kept = kept
         self.shares = shares
         self.view_lag_s: Callable[[], float] = lambda: 0.0
-        """How old what this host knows of others' requests is, in seconds."""
+        """Age of this host's view of others' requests, in seconds."""
         self.admitted_sizes = SizesByRoute()
         self._ranked_by_key: dict[tuple[PoolId, str], list[UpstreamId]] = {}
         self._ranked_revision = self.upstreams.revision
 
     def pick_pool(self, route: Route) -> PoolId | None:
-        """Return the pool of a request, drawn by the route's shares."""
+        """Return the pool of a request, drawn by the weights of the route's targets."""
         if not route.targets:
             return None
         weights = [max(0.0, target.weight) for target in route.targets]
@@ -116,10 +116,10 @@
         excluded: set[UpstreamId],
         may_refuse: bool = False,
     ) -> Choice | Failure:
-        """Return the upstream for the next try, or why there is none.
+        """Return the upstream for the next attempt, or why there is none.
 
-        `may_refuse` says that the request has just come, so that it may be refused for the time
-        that its first event would take.
+        `may_refuse` is set for a new request, which may be refused because its first event would
+        take too long.
         """
         trackers = self._servable_trackers(pool)
         if isinstance(trackers, Failure):
@@ -137,14 +137,14 @@
         return self._choose_engine(request, prompt, candidates, may_refuse)
 
     def _servable_trackers(self, pool: PoolId) -> list[Tracker] | Failure:
-        """Return the upstreams of a pool in halls that aren't evacuated, or why there is none."""
+        """Return the upstreams of a pool in halls that are not evacuated, or why there is none."""
         entries = self.upstreams.of_pool(pool)
         evacuations = self.publications.evacuations
         served = [entry for entry in entries if not evacuations.is_in_force(entry.hall)]
         if entries and not served:
             known_s = min(evacuations.age_s(entry.hall) for entry in entries)
             detail = (
-                f"the halls of all {len(entries)} upstreams are evacuated, since {known_s:.1f} s"
+                f"the halls of all {len(entries)} upstreams have been evacuated for {known_s:.1f} s"
             )
             return Failure(
                 Code.EVACUATED, Step.ADMIT, pool, detail, retry_after_s=RETRY_EVACUATED_S
@@ -152,13 +152,13 @@
         return [self.trackers.get_or_create(entry) for entry in served]
 
     def _is_available(self, tracker: Tracker) -> bool:
-        """Return whether this host may send a request to an upstream now."""
+        """Return whether this host may send a request to an upstream at the moment."""
         return tracker.reported.rest_s <= 0 and self.shares.may_send(tracker)
 
     def _refuse_unavailable(
         self, pool: PoolId, trackers: list[Tracker], untried: list[Tracker]
     ) -> Failure:
-        """Refuse, since nothing may be sent to any of the upstreams that are `left`."""
+        """Refuse, because none of the `untried` upstreams is available."""
         ready = [tracker for tracker in untried if tracker.reported.rest_s <= 0]
         limited = sum(tracker.reported.rate_limit.bound_per_s() is not None for tracker in ready)
         counts = {
@@ -178,22 +178,22 @@
         )
 
     def backoff_remaining_s(self, pool: PoolId) -> float:
-        """Return in how many seconds the first upstream of a pool has rested; 0 if one is awake."""
+        """Return the shortest remaining backoff in a pool, in seconds; 0 if one has none."""
         return _backoff_remaining_s(
             [self.trackers.get_or_create(each) for each in self.upstreams.of_pool(pool)]
         )
 
     def check_available(self, tracker: Tracker) -> Failure | None:
-        """Return why a request may no longer be sent to an upstream that was chosen before."""
+        """Return why a request may no longer be sent to an upstream that was already chosen."""
         hall = tracker.entry.hall
         if self.upstreams.is_leaving(tracker.entry.start):
-            detail = "it said meanwhile that it leaves"
+            detail = "since it was chosen, it reported that it leaves"
         elif self.publications.evacuations.is_in_force(hall):
-            detail = f"hall {hall} was evacuated meanwhile"
+            detail = f"since it was chosen, hall {hall} was evacuated"
         elif tracker.reported.rest_s > 0:
-            detail = "it asked for rest meanwhile"
+            detail = "since it was chosen, it asked for a backoff"
         elif not self.shares.may_send(tracker):
-            detail = "it is cold or limited, and this host's share was sent meanwhile"
+            detail = "it is cold or limited, and this host's quota was used up since it was chosen"
         else:
             return None
         return Failure(Code.NO_UPSTREAM, Step.SEND, tracker.id, detail, retry_after_s=RETRY_SOON_S)
@@ -211,9 +211,9 @@
     def find_candidates(
         self, prompt: Prompt, pool: PoolId, trackers: list[Tracker], untried: list[Tracker]
     ) -> Candidates | Failure:
-        """Return the engines that may take a prompt, or why there is none.
+        """Return the engines that may get a prompt, or why there is none.
 
-        Engines are looked at in the order of the prompt's affinity, until there are enough.
+        Engines are checked in the order of the prompt's affinity until there are enough.
         """
         ranked = self._rank(prompt.affinity_key, pool, untried)
         usable = (tracker for tracker in ranked if self._is_usable(prompt, tracker))
@@ -223,7 +223,7 @@
         return self._find_fallback_candidates(prompt, pool, trackers, ranked)
 
     def _is_usable(self, prompt: Prompt, tracker: Tracker) -> bool:
-        """Return whether an engine may take a prompt and is likely to serve it."""
+        """Return whether an engine may get a prompt and is likely to serve it."""
         return (
             self._is_available(tracker)
             and self._has_allowed_weights(prompt.model, tracker)
@@ -235,7 +235,7 @@
     def _find_fallback_candidates(
         self, prompt: Prompt, pool: PoolId, trackers: list[Tracker], ranked: list[Tracker]
     ) -> Candidates | Failure:
-        """Return the engines that may take a prompt where few are likely to serve it."""
+        """Return the engines that may get a prompt if too few are likely to serve it."""
         available = [tracker for tracker in ranked if self._is_available(tracker)]
         if not available:
             return self._refuse_unavailable(pool, trackers, ranked)
@@ -251,7 +251,8 @@
         return Candidates(usable[:CANDIDATES_MAX], iter(usable[CANDIDATES_MAX:]))
 
     def _rank(self, affinity_key: str, pool: PoolId, trackers: list[Tracker]) -> list[Tracker]:
-        """Return engines of a pool by a prompt's affinity; ranks are kept until entries change."""
+        """Return engines ranked by a prompt's affinity; rankings are cached until entries
+        change."""
         if (
             self._ranked_revision != self.upstreams.revision
             or len(self._ranked_by_key) >= CACHED_RANKINGS_MAX
@@ -315,10 +316,10 @@
         best: Estimate,
         others: list[Tracker],
     ) -> Estimate:
-        """Return the best of all engines, where the first candidates make a request wait too long.
+        """Return the best of all engines if a request would wait too long at the first candidates.
 
-        Any engine may take it then, at the price of reading it: first a few that are drawn, so that
-        hosts don't all find the same one, then all, before a request is refused.
+        Any engine may get it then, at the cost of a full prefill: first a few that are drawn at
+        random, so that hosts don't all choose the same one, then all, before it is refused.
         """
         if not others:
             return best
@@ -329,10 +330,10 @@
         return best
 
     def _admission_excess_s(self, request: CallerRequest, best: Estimate) -> float:
-        """Return how much too late the first event would come; at most 0 if it is let in.
+        """Return by how much the first event would be too late; at most 0 if it is admitted.
 
-        A request that is drawn is judged as if it needed what those let in lately need: as load
-        grows these become smaller, and the large ones don't lose their turn to them.
+        A randomly drawn part of the requests is judged as if they had the median size of recently
+        admitted ones. As load grows, that size shrinks, so large requests are not starved.
         """
         own_s = best.excess_s(request)
         if own_s <= 0 or not request.is_judged_as_common:
@@ -341,12 +342,12 @@
         return best.excess_s(request, share)
 
     def _refuse(self, request: CallerRequest, best: Estimate) -> Failure:
-        """Refuse, with the time after which it would be admitted; callers come back spread out."""
+        """Refuse, with the time until it would be admitted; jitter spreads out the retries."""
         target_s = request.route.target_latency_s
         own_s = best.first_s - best.wait_s
         detail = (
-            f"the first event would take {best.first_s:.2f} s, {own_s:.2f} s of it to read "
-            f"{best.missing_tokens} tokens, the target {target_s} s; {best.tokens} tokens of memory"
+            f"first event predicted in {best.first_s:.2f} s, {own_s:.2f} s of it for prefill of "
+            f"{best.missing_tokens} tokens, target {target_s} s; needs {best.tokens} memory tokens"
         )
         spread_s = RETRY_SOON_S * (0.5 + random.random())
         retry_after_s = self._admission_excess_s(request, best) + spread_s
@@ -354,29 +355,30 @@
         return Failure(Code.OVERLOADED, Step.ADMIT, pool, detail, retry_after_s=retry_after_s)
 
     def _has_allowed_weights(self, model: ModelId, tracker: Tracker) -> bool:
-        """Return whether an engine's weights were replaced less than the bound ago, or not."""
+        """Return whether an engine's weights are current, or were replaced less than the bound
+        ago."""
         version = tracker.version_by_model.get(model, 0)
         bound_s = self.version_bound_s - VERSION_MARGIN_S
         return not self.publications.is_replaced_for(model, version, bound_s)
 
 
 def _backoff_remaining_s(trackers: list[Tracker]) -> float:
-    """Return in how many seconds the first of some upstreams has rested; 0 if one is awake.
+    """Return the shortest remaining backoff of some upstreams, in seconds; 0 if one has none.
 
-    Callers come back spread out, so that it isn't run over at once.
+    Jitter spreads out the retries, so that the upstream isn't overloaded when it is back.
     """
     rest_s = min((tracker.reported.rest_s for tracker in trackers), default=0.0)
     return rest_s + RETRY_SOON_S * random.random() if rest_s > 0 else 0.0
 
 
 def _may_fit(prompt: Prompt, tracker: Tracker) -> bool:
-    """Return whether an engine's memory, where it is known, holds the prompt."""
+    """Return whether the prompt fits an engine's memory; true if its size is unknown."""
     capacity_tokens = tracker.memory.capacity_tokens
     return not capacity_tokens or prompt.tokens_in <= capacity_tokens
 
 
 def _refuse_size(prompt: Prompt, trackers: list[Tracker]) -> Failure:
-    """Refuse a prompt that no engine holds; coming back soon would change nothing."""
+    """Refuse a prompt that fits no engine, without a retry-after, as a retry would fail as well."""
     largest = max(tracker.memory.capacity_tokens for tracker in trackers)
-    detail = f"the prompt has {prompt.tokens_in} tokens, the largest engine's memory {largest}"
+    detail = f"prompt of {prompt.tokens_in} tokens exceeds the largest engine memory of {largest}"
     return Failure(Code.FITS_NO_ENGINE, Step.ADMIT, trackers[0].entry.pool, detail)
--- a/libs/serving/ruddersaddle_serving/tests/test_placements.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_placements.py
@@ -35,7 +35,7 @@
 
 
 def make_request(tokens: int, as_common: bool = False) -> CallerRequest:
-    """Return a prompt; `as_common` says how admission judges it, which is drawn in service."""
+    """Return a prompt; `as_common` sets how admission judges it, which production code draws."""
     parts = (Part(PartId("shared"), tokens - 10), Part(PartId("own"), 10))
     head = CallerHead(RequestId("q"), None, None, Prompt(MODEL, parts, tokens, 0), None, ())
     request = CallerRequest(head, "POST", "/", b"", ROUTE, None, clocks.now_s())
@@ -44,7 +44,7 @@
 
 
 class PlacementFixture(FixedClockTest):
-    """Two engines of a pool and a placement."""
+    """A placement and two engines of one pool."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -81,14 +81,14 @@
 
 
 class PlacementTest(PlacementFixture):
-    def test_the_emptier_engine_is_taken(self) -> None:
+    def test_the_emptier_engine_is_chosen(self) -> None:
         self.fill(self.first, CAPACITY)
         self.assertIs(self.choose().tracker, self.second)
         self.first.load.end(("host", 0))
         self.fill(self.second, CAPACITY)
         self.assertIs(self.choose().tracker, self.first)
 
-    def test_engine_that_keeps_the_prompt_is_taken(self) -> None:
+    def test_engine_that_caches_the_prompt_is_chosen(self) -> None:
         for tracker in (self.first, self.second):
             parts = make_request(9000).head.prompt.shared_parts
             tracker.memory.record_use("m/1", parts)
@@ -96,7 +96,7 @@
             tracker.memory.clear()
 
     def outcomes_while_engines_fill(self, *requests: CallerRequest) -> list[tuple[bool, ...]]:
-        """Return for each step of filling both engines which of the requests are refused."""
+        """Return which of the requests are refused at each step of filling both engines."""
         outcomes = []
         for tenths in range(5, 21):
             for tracker in (self.first, self.second):
@@ -128,14 +128,14 @@
         outcomes = self.outcomes_while_engines_fill(large, common)
         self.assertEqual(set(outcomes), {(False, False), (True, True)})
 
-    def test_small_request_that_is_judged_as_common_is_let_in_as_by_its_own_size(self) -> None:
+    def test_small_request_that_is_judged_as_common_is_admitted_as_by_its_own_size(self) -> None:
         for _ in range(9):
             self.choose(400, may_refuse=True)
-        drawn, own = (make_request(50, as_common=drawn) for drawn in (True, False))
-        outcomes = self.outcomes_while_engines_fill(drawn, own)
+        as_common, by_own_size = (make_request(50, as_common=each) for each in (True, False))
+        outcomes = self.outcomes_while_engines_fill(as_common, by_own_size)
         self.assertEqual(set(outcomes), {(False, False), (True, True)})
 
-    def test_prompt_that_fits_no_engine_is_refused_at_once_and_not_told_to_come_back(self) -> None:
+    def test_prompt_that_fits_no_engine_is_refused_at_once_without_a_retry_after(self) -> None:
         for may_refuse in (True, False):
             refusal = self.choose(CAPACITY + 1, may_refuse)
             self.assertEqual(refusal.code, Code.FITS_NO_ENGINE)
@@ -148,7 +148,7 @@
             tracker.memory.capacity_tokens = 0
         self.assertIsInstance(self.choose(CAPACITY + 1), Choice)
 
-    def test_prompt_that_takes_longer_than_its_target_to_read_is_admitted_where_nothing_waits(
+    def test_prompt_whose_prefill_exceeds_its_target_is_admitted_where_nothing_waits(
         self,
     ) -> None:
         for tracker in (self.first, self.second):
@@ -157,19 +157,19 @@
         self.assertIsInstance(choice, Choice)
         self.assertGreater(choice.assignment.prefill_s * 4.0, ROUTE.target_latency_s)
 
-    def test_refused_callers_come_back_at_different_times(self) -> None:
+    def test_retries_of_refused_callers_are_spread_out(self) -> None:
         for tracker in (self.first, self.second):
             self.fill(tracker, CAPACITY * 3)
         times = {self.choose(2000, may_refuse=True).retry_after_s for _ in range(20)}
         self.assertEqual(len(times), 20)
 
-    def test_engine_that_is_seen_to_read_slowly_is_left_for_another(self) -> None:
+    def test_engine_with_a_slow_observed_prefill_is_avoided(self) -> None:
         self.assertEqual(self.choose(5000).wait_s, 0.0)
         for slow, other in ((self.first, self.second), (self.second, self.first)):
             slow.load.service_time.factor, other.load.service_time.factor = 3.0, 1.0
             self.assertIs(self.choose(5000).tracker, other)
 
-    def test_what_is_admitted_follows_what_engines_are_seen_to_take(self) -> None:
+    def test_admission_follows_observed_service_times(self) -> None:
         for tracker in (self.first, self.second):
             tracker.load.add(("host", 1), 1, 0.1, 100)
         self.assertIsInstance(self.choose(200, may_refuse=True), Choice)
@@ -177,20 +177,20 @@
             tracker.load.service_time.factor = 4.0
         self.assertIsInstance(self.choose(200, may_refuse=True), Failure)
 
-    def test_request_that_was_tried_is_sent_however_long_it_would_wait(self) -> None:
+    def test_retried_request_is_sent_however_long_it_would_wait(self) -> None:
         for tracker in (self.first, self.second):
             self.fill(tracker, CAPACITY * 2)
         self.assertIsInstance(self.choose(2000, may_refuse=True), Failure)
         self.assertIsInstance(self.choose(2000), Choice)
 
-    def test_request_that_is_let_in_goes_at_once_though_memory_is_taken(self) -> None:
-        """Held until its target, each was late: an engine lets it in as soon as a run ends."""
+    def test_admitted_request_is_sent_at_once_though_memory_is_full(self) -> None:
+        """Holding it back would make it late: the engine admits it as soon as a run ends."""
         for tracker in (self.first, self.second):
             self.fill(tracker, round(CAPACITY * 0.95))
             tracker.load.memory_run_s = 0.1
         self.assertIsInstance(self.choose(500, may_refuse=True), Choice)
 
-    def test_old_weights_are_left_before_their_bound(self) -> None:
+    def test_old_weights_are_avoided_before_their_bound(self) -> None:
         self.publications.confirm(self.now, StorePosition(0, 1))
         self.publications.take(ModelVersion(MODEL, 2))
         self.first.record_version(MODEL, 2)
@@ -201,7 +201,7 @@
             self.assertEqual((self.choose().tracker, self.choose().version), (self.first, 2))
 
     def test_bound_counts_from_the_first_newer_weights(self) -> None:
-        """Found in a hunt: a second version named 4 s later let the oldest weights go on."""
+        """A second version published 4 s later must not extend the use of the oldest weights."""
         self.publications.confirm(self.now, StorePosition(0, 1))
         self.publications.take(ModelVersion(MODEL, 2))
         self.now += 4.0
@@ -213,20 +213,20 @@
         self.now += 4.0
         self.assertEqual(self.choose().code, Code.OTHER_VERSION)
 
-    def test_engine_that_loads_is_taken_only_if_no_other_is_left(self) -> None:
+    def test_engine_that_loads_weights_is_chosen_only_as_a_last_resort(self) -> None:
         self.first.avoided_until = self.now + 1.0
         self.assertIs(self.choose().tracker, self.second)
         self.second.avoided_until = self.now + 1.0
         self.assertIsInstance(self.choose(), Choice)
 
-    def test_engine_that_takes_no_connection_is_left_out(self) -> None:
+    def test_engine_that_refuses_connections_is_avoided(self) -> None:
         self.first.record_connect_failure()
         self.assertIs(self.choose().tracker, self.second)
         self.now += 0.6
         self.fill(self.second, CAPACITY)
         self.assertIs(self.choose().tracker, self.first)
 
-    def test_few_of_many_engines_are_weighed(self) -> None:
+    def test_few_of_many_engines_are_compared(self) -> None:
         for number in range(3, 30):
             self.add(f"e-{number}")
         chosen = set()
@@ -236,7 +236,7 @@
             tracker.load.add(("host", len(tracker.load.by_number)), 1, 0.01, 10)
         self.assertEqual(len(chosen), CANDIDATES_MAX)
 
-    def test_part_that_many_want_goes_beyond_its_candidates(self) -> None:
+    def test_part_in_high_demand_goes_beyond_its_candidates(self) -> None:
         for number in range(3, 30):
             self.add(f"e-{number}")
         for _ in range(25):
@@ -247,8 +247,8 @@
         self.assertGreater(len(loaded), 20)
 
 
-class OpenUpstreamsTest(PlacementFixture):
-    """Which upstreams may be sent to at all: their halls, and whether they are cold."""
+class AvailableUpstreamsTest(PlacementFixture):
+    """Which upstreams are available at all: evacuated halls, cold starts, limits and backoff."""
 
     def setUp(self) -> None:
         super().setUp()
@@ -262,7 +262,7 @@
     def evacuate(self, hall: str) -> None:
         self.publications.evacuations.take(Evacuation(HallId(hall), in_force=True))
 
-    def test_cold_engine_is_taken_until_this_host_has_sent_its_share(self) -> None:
+    def test_cold_engine_is_chosen_until_this_host_has_used_its_quota(self) -> None:
         self.turn_cold(self.first)
         self.fill(self.second, CAPACITY)
         for _ in range(2):
@@ -270,7 +270,7 @@
             self.placement.shares.note_sent(self.first)
         self.assertIs(self.choose().tracker, self.second)
 
-    def test_all_cold_and_no_share_left_is_refused_and_has_not_run(self) -> None:
+    def test_all_cold_and_no_quota_left_is_refused_and_has_not_run(self) -> None:
         for tracker in (self.first, self.second):
             self.turn_cold(tracker)
             for _ in range(2):
@@ -280,7 +280,7 @@
         self.assertIn("2 cold", refusal.detail)
         self.assertGreater(refusal.retry_after_s, 0)
 
-    def test_engine_at_its_limit_is_left_out_and_its_last_request_held_back(self) -> None:
+    def test_engine_at_its_limit_is_avoided_and_its_last_request_held_back(self) -> None:
         self.fill(self.second, CAPACITY)
         self.first.reported.rate_limit.take(LimitNews(1.0, False, RequestId("q")))
         self.assertIs(self.choose().tracker, self.first)
@@ -292,11 +292,11 @@
             self.placement.shares.note_sent(tracker)
         self.assertEqual("2 upstreams, 2 at their limit", self.choose().detail)
 
-    def test_engine_that_rests_is_left_out_and_all_resting_is_told_with_a_true_time(self) -> None:
+    def test_engine_in_backoff_is_avoided_and_a_refusal_has_the_remaining_time(self) -> None:
         self.first.reported.rest(3.0)
         self.fill(self.second, CAPACITY)
         self.assertIs(self.choose().tracker, self.second)
-        self.assertIn("rest", self.placement.check_available(self.first).detail)
+        self.assertIn("backoff", self.placement.check_available(self.first).detail)
         self.second.reported.rest(5.0)
         self.now += 1.0
         refusal = self.choose()
@@ -307,7 +307,7 @@
         self.now += 2.0
         self.assertIs(self.choose().tracker, self.first)
 
-    def test_upstreams_of_an_evacuated_hall_are_left_out(self) -> None:
+    def test_upstreams_of_an_evacuated_hall_are_avoided(self) -> None:
         entry = msgspec.structs.replace(self.first.entry, id=UpstreamId("e-3"), hall=HallId("g"))
         self.upstreams.put(entry)
         self.evacuate("h")
@@ -317,7 +317,7 @@
         self.assertEqual((refusal.code, refusal.ran), (Code.EVACUATED, Ran.NOT_RUN))
         self.assertGreater(refusal.retry_after_s, 0)
 
-    def test_what_was_chosen_is_looked_at_again_when_it_is_sent(self) -> None:
+    def test_availability_is_checked_again_when_a_request_is_sent(self) -> None:
         self.assertIsNone(self.placement.check_available(self.first))
         self.turn_cold(self.first)
         for _ in range(2):
