--- a/libs/serving/ruddersaddle_serving/tests/test_belief_ages.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_belief_ages.py
@@ -1,4 +1,4 @@
-"""Tests that bounds which build on one another leave room for what a host hears by others."""
+"""Tests that dependent time bounds allow for the age of what a host receives through others."""
 
 import unittest
 
@@ -14,31 +14,31 @@
 )
 from ruddersaddle_serving.upstream_lists import CERTAIN_S
 
-WAY_S = 0.1
-"""Ways of a question and its answer, on a slowed host."""
-READER_AGE_S = 2 * OPERATOR_WAIT_S + WAY_S
-"""Oldest belief of a reader: the answer to a waiting question is dated from when it left, and it
-counts until the next answer is here."""
-HEARD_AGE_S = READER_AGE_S + ASK_PAUSE_S + LOOK_S
-"""Oldest belief of a host that asks the reader."""
+ROUND_TRIP_S = 0.1
+"""Round trip of a request to another host, on a slow host."""
+READER_AGE_S = 2 * OPERATOR_WAIT_S + ROUND_TRIP_S
+"""Maximum age of a reader's view: the answer to a long poll is dated from when the poll was sent,
+and it counts until the next answer arrives."""
+RECEIVED_AGE_S = READER_AGE_S + ASK_PAUSE_S + LOOK_S
+"""Maximum age of the view of a host that asks the reader."""
 
 
-class BeliefAgesTest(unittest.TestCase):
-    def test_store_is_not_asked_by_hosts_that_hear_of_others(self) -> None:
-        self.assertGreater(FALLBACK_S, HEARD_AGE_S)
+class ViewAgesTest(unittest.TestCase):
+    def test_hosts_that_receive_from_others_do_not_ask_the_store(self) -> None:
+        self.assertGreater(FALLBACK_S, RECEIVED_AGE_S)
 
-    def test_store_is_not_asked_for_crash_records_by_hosts_that_hear_of_others(self) -> None:
-        heard_age_s = 2 * CRASH_WAIT_S + WAY_S + ASK_PAUSE_S + LOOK_S
-        self.assertGreater(CRASH_FALLBACK_S, heard_age_s)
+    def test_hosts_that_receive_from_others_do_not_ask_the_store_for_crash_records(self) -> None:
+        received_age_s = 2 * CRASH_WAIT_S + ROUND_TRIP_S + ASK_PAUSE_S + LOOK_S
+        self.assertGreater(CRASH_FALLBACK_S, received_age_s)
 
-    def test_reader_that_the_store_answers_asks_no_other(self) -> None:
+    def test_reader_that_the_store_answers_asks_no_other_host(self) -> None:
         self.assertGreater(OLD_S, READER_AGE_S)
 
-    def test_list_of_upstreams_is_certain_on_hosts_that_hear_of_others(self) -> None:
-        self.assertGreater(CERTAIN_S, HEARD_AGE_S)
+    def test_list_of_upstreams_is_certain_on_hosts_that_receive_from_others(self) -> None:
+        self.assertGreater(CERTAIN_S, RECEIVED_AGE_S)
 
-    def test_listings_are_trusted_by_hosts_that_hear_of_others(self) -> None:
-        self.assertGreater(TRUST_S, 2 * FOLLOW_WAIT_S + WAY_S + PARTS_ASK_PAUSE_S)
+    def test_listings_are_trusted_by_hosts_that_receive_from_others(self) -> None:
+        self.assertGreater(TRUST_S, 2 * FOLLOW_WAIT_S + ROUND_TRIP_S + PARTS_ASK_PAUSE_S)
 
 
 if __name__ == "__main__":
