--- a/libs/serving/ruddersaddle_serving/tests/load_replays.py
+++ b/libs/serving/ruddersaddle_serving/tests/load_replays.py
@@ -1,9 +1,9 @@
-"""Replays a load in virtual time against the decisions that a host makes.
+"""Simulates a load in virtual time against the decisions that a host makes.
 
-The decisions are the product's own: placement, shared loads, silence, probes. What stands around
-them is as small as it can be: engines with slots, memory, a reading pace and dark spells; callers
-who come once, or a second time after a refusal. Hosts hear of one another as they do in service,
-over messages that arrive at once; connections take no time, or time out at a dark engine.
+The decisions run the production code: placement, load exchange, liveness, probes. The environment
+is minimal: engines with slots, memory, a prefill rate and outages; callers who try once, or a
+second time after a refusal. Hosts exchange the production messages, which arrive immediately;
+connections take no time, or time out at an engine that is down.
 """
 
 import heapq
@@ -50,14 +50,14 @@
 POOL = PoolId("p")
 MODEL = ModelId("m")
 CALLER_TIMEOUT_S = 2.4
-"""A caller leaves an engine that has sent nothing after this long."""
+"""A caller gives up on an engine that has sent nothing for this long."""
 
 
 class ReplayEngine:
-    """An engine that reads prompts one after another and runs up to `slots`.
+    """An engine that prefills prompts one after another and runs up to `slots`.
 
-    The urgent go first; where memory runs out the newest of the least urgent runs is preempted and
-    read anew.
+    Higher priorities go first. When memory runs out, the latest run of the lowest priority is
+    preempted and its prefill is repeated.
     """
 
     def __init__(self, replay: "Replay", entry: UpstreamEntry) -> None:
@@ -124,9 +124,9 @@
         self.cached.move_to_end(caller.shared_part)
         while sum(self.cached.values()) > self.replay.load.memory_tokens:
             self.cached.popitem(last=False)
-        read = 0 if is_cached else caller.kind.shared_tokens
-        caller.tally.prefilled_tokens += read
-        return read
+        prefilled = 0 if is_cached else caller.kind.shared_tokens
+        caller.tally.prefilled_tokens += prefilled
+        return prefilled
 
     def _end_prefill(self, caller: "ReplayCaller", run: int) -> None:
         if self.is_down or caller.runs != run:
@@ -157,7 +157,7 @@
 
 
 class ReplayConnections:
-    """Tells placement whether a host has a connection to an engine."""
+    """Shows the placement whether a host has an idle connection to an engine."""
 
     def __init__(self, host: "ReplayHost", upstream: UpstreamId) -> None:
         self.host = host
@@ -172,7 +172,7 @@
 
 
 class ReplayHost:
-    """The decisions of one host, and to which engines it has connections."""
+    """The decisions of one host, and its connections to engines."""
 
     def __init__(self, replay: "Replay", exchange: LoadExchange) -> None:
         self.exchange = exchange
@@ -186,16 +186,16 @@
         publications = Publications()
         kept = KeptParts(mock.Mock())
         hall = exchange.hosts.own.hall
-        cold = UpstreamShares(exchange.hosts, publications, upstreams)
-        self.placement = Placement(hall, 12.0, publications, upstreams, trackers, kept, cold)
+        quotas = UpstreamShares(exchange.hosts, publications, upstreams)
+        self.placement = Placement(hall, 12.0, publications, upstreams, trackers, kept, quotas)
         self.placement.view_lag_s = lambda: exchange.lag_s
         engines = mock.Mock()
         engines.presence.side_effect = lambda _, start: replay.presence(start.id)
         self.probes = Probes(exchange.hosts, trackers, engines, exchange.broadcast)
         self.connected_until: dict[UpstreamId, float] = {}
 
-    def connects(self, upstream: UpstreamId) -> bool:
-        """Return whether a request needs a new connection; it is kept for the next one."""
+    def needs_connection(self, upstream: UpstreamId) -> bool:
+        """Return whether a request needs a new connection, which later requests reuse."""
         now = clocks.now_s()
         is_new = self.connected_until.get(upstream, 0.0) < now
         self.connected_until[upstream] = now + IDLE_S
@@ -203,7 +203,7 @@
 
 
 class ReplayCaller:
-    """One caller, from the first try on."""
+    """One caller, from the first attempt on."""
 
     def __init__(self, replay: "Replay", kind: Kind) -> None:
         self.replay = replay
@@ -266,7 +266,7 @@
         expected_s = choice.first_s
         self._broadcast(Progress.SENT, assignment=choice.assignment, expected_s=expected_s)
         engine = self.replay.engine_by_id[self.upstream]
-        is_new = self.host.connects(self.upstream)
+        is_new = self.host.needs_connection(self.upstream)
         self.tally.connections += is_new
         if engine.is_down and is_new:
             self.replay.after(CONNECT_S, self._fail_to_connect)
@@ -274,7 +274,7 @@
         self.host.placement.shares.note_sent(choice.tracker)
         engine.handle(self)
         number = self.number
-        self.replay.after(CALLER_TIMEOUT_S, lambda: self._leave(number))
+        self.replay.after(CALLER_TIMEOUT_S, lambda: self._abandon(number))
 
     def _fail_to_connect(self) -> None:
         self.host.connected_until.pop(self.upstream, None)
@@ -286,7 +286,7 @@
         else:
             self._give_up("unserved")
 
-    def _leave(self, number: int) -> None:
+    def _abandon(self, number: int) -> None:
         if not self.ended and self.number == number:
             self.ended = True
             self.host.connected_until.pop(self.upstream, None)
@@ -313,7 +313,8 @@
             self.tally.late_after_refusal += self.attempts > 1
 
     def record_preemption(self) -> None:
-        """Take that the engine preempted the run; a stream that had begun has a long pause now."""
+        """Record that the engine preempted the run; a stream that had begun now has a long
+        pause."""
         if (
             self.ended
             and clocks.now_s() - self.started_at > 0
@@ -329,7 +330,7 @@
 
 
 class Replay:
-    """One load, replayed."""
+    """The simulation of one load."""
 
     engine_class: type[ReplayEngine] = ReplayEngine
     caller_class: type[ReplayCaller] = ReplayCaller
@@ -343,7 +344,7 @@
         self._events: list[tuple[float, int, Callable[[], None]]] = []
 
     def run(self) -> Outcome:
-        """Play the load and return what became of its callers."""
+        """Run the simulation and return the outcome for the callers."""
         eventlet_path = "ruddersaddle_serving.load_shares.eventlet.spawn_after"
         with (
             mock.patch.object(clocks, "now_s", lambda: self.now),
@@ -358,11 +359,11 @@
         return self.outcome
 
     def presence(self, upstream: UpstreamId) -> Presence:
-        """Return what a probe of an engine brings."""
+        """Return the result of probing an engine."""
         return Presence.UNKNOWN if self.engine_by_id[upstream].is_down else Presence.HERE
 
     def after(self, seconds: float, function: Callable[[], None]) -> None:
-        """Call a function later."""
+        """Call a function after a delay."""
         heapq.heappush(self._events, (self.now + seconds, next(self.numbers), function))
 
     def _every(self, seconds: float, function: Callable[[], None]) -> None:
--- a/libs/serving/ruddersaddle_serving/tests/replay_loads.py
+++ b/libs/serving/ruddersaddle_serving/tests/replay_loads.py
@@ -1,4 +1,4 @@
-"""Loads that are replayed, and what became of their callers."""
+"""Loads of the simulation, and the outcomes for their callers."""
 
 import math
 import random
@@ -6,11 +6,11 @@
 import msgspec
 
 LATE_SHARE = 0.2
-"""What a late answer is worth, as a share of one in time."""
+"""Worth of a late answer, as a share of the worth of one in time."""
 
 
 class Kind(msgspec.Struct, frozen=True):
-    """A kind of prompt: how often it is asked, its size in tokens, its target."""
+    """A kind of prompt: its rate, its size in tokens and its latency target."""
 
     name: str
     per_s: float
@@ -20,24 +20,24 @@
     target_s: float
     priority: int
     worth: float
-    """Worth of an answer in time; a late one is worth `LATE_SHARE` of it."""
+    """Worth of an answer in time; a late one has `LATE_SHARE` of it."""
     shared_parts: int
-    """Shared parts that are asked for, alike often."""
+    """Number of shared parts, which are used equally often."""
     spread: float = 0.0
-    """Spread of own tokens, log-normal around `own_tokens`; 0 where all are alike."""
+    """Log-normal spread of own tokens around `own_tokens`; 0 if all are equal."""
     own_tokens_max: int = 24_000
-    """Most own tokens that are drawn."""
+    """Upper bound of the drawn own tokens."""
     shared_spread: float = 0.0
-    """The same for shared parts, around `shared_tokens`; each has one size."""
+    """Log-normal spread of shared parts around `shared_tokens`; each part has a fixed size."""
 
     @property
     def tokens(self) -> int:
-        """Memory that a request takes at its engine."""
+        """Memory that a request uses at its engine."""
         return self.shared_tokens + self.own_tokens + self.tokens_out
 
 
 def draw_size(kind: Kind, rng: random.Random) -> Kind:
-    """Return the kind with the own tokens of one request."""
+    """Return the kind with the own tokens drawn for one request."""
     if not kind.spread:
         return kind
     drawn = rng.lognormvariate(math.log(kind.own_tokens), kind.spread)
@@ -46,7 +46,7 @@
 
 
 def draw_shared_size(kind: Kind, shared_part: str) -> Kind:
-    """Return the kind with the tokens of the shared part of this name."""
+    """Return the kind with the tokens of the named shared part."""
     if not kind.shared_spread:
         return kind
     rng = random.Random(shared_part)
@@ -55,7 +55,7 @@
 
 
 class Load(msgspec.Struct, frozen=True):
-    """A load pattern. Times are in seconds from its start, shares of the engines or the rate."""
+    """A load pattern; times are in seconds from its start."""
 
     kinds: tuple[Kind, ...]
     hosts: int = 40
@@ -68,45 +68,45 @@
     step_s: float = 0.005
     length_s: float = 8.0
     surge: tuple[float, float, float] = (0.0, 0.0, 1.0)
-    """From when to when the rate is multiplied, and by what."""
+    """Start and end of a surge, and the factor by which it multiplies the rate."""
     outage: tuple[float, float, float] = (0.0, 0.0, 0.0)
-    """From when to when a share of the engines is dark, and which share."""
+    """Start and end of an outage, and the share of the engines that is down."""
     seed: int = 1
 
 
 class Tally(msgspec.Struct):
-    """What became of the callers of one kind."""
+    """Outcome counts of the callers of one kind."""
 
     kind: Kind
     asked: int = 0
     in_time: int = 0
     late: int = 0
     late_after_refusal: int = 0
-    """Of the late ones those that had been refused first."""
+    """Late ones that had been refused first."""
     interrupted: int = 0
-    """Preempted in the middle of their stream; they count as late."""
+    """Interrupted in the middle of their stream by a preemption or a crash; they count as late."""
     refused: int = 0
     unserved: int = 0
     unserved_s: float = 0.0
-    """Time that callers waited who were then refused or left."""
+    """Total waiting time of callers who were then refused or gave up."""
     prefilled_tokens: int = 0
     connections: int = 0
     asked_at: list[float] = []
-    """When each request was first asked, and of those in time when they were."""
+    """When each request was first sent; `in_time_at` has those that were served in time."""
     in_time_at: list[float] = []
     first_event_times_s: list[float] = []
     sizes: list[int] = []
-    """Tokens of each request that was asked for."""
+    """Tokens of each request."""
     served_sizes: list[int] = []
-    """Tokens of those of which a first event came."""
+    """Tokens of each request that got a first event."""
 
     @property
     def served_share(self) -> float:
-        """Share of all requests of the kind that were served."""
+        """Share of the requests of this kind that were served."""
         return len(self.served_sizes) / max(1, len(self.sizes))
 
     def served_between(self, low: float, high: float) -> float:
-        """Return the share served of the requests between two shares of the sizes in order."""
+        """Return the served share of the requests between two quantiles of their sizes."""
         bounds = [*sorted(self.sizes), math.inf]
         least, most = (bounds[round(share * len(self.sizes))] for share in (low, high))
         asked = sum(least <= size < most for size in self.sizes)
@@ -114,25 +114,25 @@
 
     @property
     def share(self) -> float:
-        """Share of the worth asked for that was earned."""
+        """Earned share of the possible worth."""
         late = self.late + self.interrupted
         return (self.in_time - self.interrupted + LATE_SHARE * late) / max(1, self.asked)
 
 
 class Outcome(msgspec.Struct):
-    """What became of all callers, by name of their kind."""
+    """Outcome for all callers, by name of their kind."""
 
     tally_by_kind: dict[str, Tally]
 
     @property
     def worth(self) -> float:
-        """Share of the worth asked for that was earned."""
+        """Earned share of the possible worth of all kinds."""
         tallies = self.tally_by_kind.values()
         asked = sum(each.kind.worth * each.asked for each in tallies)
         return sum(each.kind.worth * each.asked * each.share for each in tallies) / asked
 
     def in_time_between(self, begin: float, end: float) -> float:
-        """Return the share in time of what was asked first between two moments."""
+        """Return the share in time of the requests first sent between two times."""
         tallies = self.tally_by_kind.values()
         asked = sum(begin <= at < end for each in tallies for at in each.asked_at)
         in_time = sum(begin <= at < end for each in tallies for at in each.in_time_at)
