--- a/libs/serving/ruddersaddle_serving/placements.py
+++ b/libs/serving/ruddersaddle_serving/placements.py
@@ -251,8 +251,7 @@
         return Candidates(usable[:CANDIDATES_MAX], iter(usable[CANDIDATES_MAX:]))
 
     def _rank(self, affinity_key: str, pool: PoolId, trackers: list[Tracker]) -> list[Tracker]:
-        """Return engines ranked by a prompt's affinity; rankings are cached until entries
-        change."""
+        """Return engines by a prompt's affinity; rankings are cached until entries change."""
         if (
             self._ranked_revision != self.upstreams.revision
             or len(self._ranked_by_key) >= CACHED_RANKINGS_MAX
@@ -355,8 +354,7 @@
         return Failure(Code.OVERLOADED, Step.ADMIT, pool, detail, retry_after_s=retry_after_s)
 
     def _has_allowed_weights(self, model: ModelId, tracker: Tracker) -> bool:
-        """Return whether an engine's weights are current, or were replaced less than the bound
-        ago."""
+        """Return whether an engine's weights are current, or are outdated within the bound."""
         version = tracker.version_by_model.get(model, 0)
         bound_s = self.version_bound_s - VERSION_MARGIN_S
         return not self.publications.is_replaced_for(model, version, bound_s)
--- a/libs/serving/ruddersaddle_serving/tests/load_replays.py
+++ b/libs/serving/ruddersaddle_serving/tests/load_replays.py
@@ -313,8 +313,7 @@
             self.tally.late_after_refusal += self.attempts > 1
 
     def record_preemption(self) -> None:
-        """Record that the engine preempted the run; a stream that had begun now has a long
-        pause."""
+        """Record that the engine preempted the run; a stream that had begun pauses for long."""
         if (
             self.ended
             and clocks.now_s() - self.started_at > 0
--- a/libs/serving/ruddersaddle_serving/tests/test_large_requests.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_large_requests.py
@@ -1,6 +1,6 @@
-"""Tests that large requests are served under sustained overload, half as often as their kind or
-more.
+"""Tests that sustained overload doesn't starve large requests.
 
+They have to be served at least half as often as all requests of their kind.
 Guards against the starvation of large requests by admission control. A request is admitted if its
 own first event would be in time; its prefill and its memory add to that time, so smaller requests
 take the room first for as long as the overload lasts. With twice the load that three engines bear,
@@ -117,11 +117,7 @@
                 self.replay(with_factor(load, factor, 4))
 
     def test_long_prompts_beside_two_kinds_of_higher_priority(self) -> None:
-        """Memory is the bottleneck. With 0.6 judged as common, 0.23 of the largest tenth are
-        served.
-
-        Of all requests, 0.50 are served then.
-        """
+        """Memory binds; with 0.6 judged as common, 0.23 of the largest tenth, 0.50 of all."""
         self.replay(scaled(FIVE, 3.0, 1))
 
     def test_long_prompts_while_engines_are_lost(self) -> None:
