--- a/libs/serving/ruddersaddle_serving/tests/test_large_requests.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_large_requests.py
@@ -1,6 +1,7 @@
 """Tests that sustained overload doesn't starve large requests.
 
 They have to be served at least half as often as all requests of their kind.
+
 Guards against the starvation of large requests by admission control. A request is admitted if its
 own first event would be in time; its prefill and its memory add to that time, so smaller requests
 take the room first for as long as the overload lasts. With twice the load that three engines bear,
