--- a/libs/serving/ruddersaddle_serving/entry_hosts.py
+++ b/libs/serving/ruddersaddle_serving/entry_hosts.py
@@ -18,9 +18,9 @@
 from ruddersaddle_base.settings import Settings
 from ruddersaddle_routing.retries import RetryBudget
 
-from ruddersaddle_serving.caller_listeners import LastingListener, find_room
+from ruddersaddle_serving.caller_listeners import ResilientListener, connection_limit
 from ruddersaddle_serving.caller_pools import CallerPool
-from ruddersaddle_serving.caller_protocols import HEAD_MAX, CallerProtocol
+from ruddersaddle_serving.caller_protocols import HEAD_BYTES_MAX, CallerProtocol
 from ruddersaddle_serving.crash_records import CrashRecords
 from ruddersaddle_serving.crash_watches import CrashWatch
 from ruddersaddle_serving.fence_leases import FenceLease
@@ -44,9 +44,9 @@
 from ruddersaddle_serving.probes import Probes
 from ruddersaddle_serving.publications import Publications
 from ruddersaddle_serving.replaced_parts import ReplacedParts
-from ruddersaddle_serving.request_ends import cut_fields
+from ruddersaddle_serving.request_ends import interrupted_fields
 from ruddersaddle_serving.self_reports import SelfReport
-from ruddersaddle_serving.silent_peers import watch_callers
+from ruddersaddle_serving.socket_liveness import set_listener_options
 from ruddersaddle_serving.standstills import Standstills
 from ruddersaddle_serving.store_followers import (
     CRASH_WAIT_S,
@@ -89,7 +89,7 @@
 class ServedPort:
     """A listener, the task of its server, and the tasks of its connections."""
 
-    listener: LastingListener
+    listener: ResilientListener
     server: GreenThread
     pool: CallerPool
 
@@ -116,14 +116,14 @@
         self.link = StoreLink()
         self.publications = Publications()
         self.upstreams = UpstreamList()
-        store.eras.return_listeners.append(self.upstreams.note_copy)
+        store.eras.restore_listeners.append(self.upstreams.ignore_gone_instances)
         self.entries = UpstreamFollower(store, self.link, self.upstreams)
         self.trackers = Trackers()
         self.hosts = self._make_hosts(settings)
         self.shares = UpstreamShares(self.hosts, self.publications, self.upstreams)
         self.kept = KeptParts(engines)
         self.budget = RetryBudget(settings.number("bounds.retry_share") * BUDGET_SHARE)
-        self.publications.listeners += [self.trackers.apply_route_table, self.kept.take_table]
+        self.publications.listeners += [self.trackers.apply_table, self.kept.take_table]
         self.crash_records = CrashRecords()
         self.crashes = CrashWatch(
             engines,
@@ -248,7 +248,7 @@
         try:
             self._serve()
         except Exception:
-            fields = cut_fields(self.front.under_way())
+            fields = interrupted_fields(self.front.active_requests())
             logger.critical(
                 "Host %s ends by a fault.", self.incarnation, exc_info=True, extra=fields
             )
@@ -271,9 +271,9 @@
     def _listen(self, name: str, app: Any, protocol: type) -> ServedPort:
         host, _, port = self.settings.text(name).rpartition(":")
         listener = eventlet.listen((host, int(port)), backlog=BACKLOG, reuse_port=False)
-        watch_callers(listener)
-        pool = CallerPool(find_room())
-        listener = LastingListener(listener, pool)
+        set_listener_options(listener)
+        pool = CallerPool(connection_limit())
+        listener = ResilientListener(listener, pool)
         server = eventlet.spawn(
             eventlet.wsgi.server,
             listener,
@@ -282,7 +282,7 @@
             log_output=False,
             minimum_chunk_size=0,
             custom_pool=pool,
-            url_length_limit=HEAD_MAX,
+            url_length_limit=HEAD_BYTES_MAX,
             debug=False,
         )
         return ServedPort(listener, server, pool)
@@ -338,7 +338,7 @@
             ("configuration_version", "version in force", self.publications.version),
             ("configuration_age_seconds", "age of its confirmation", self.publications.age_s),
             ("store_era", "era of the store", self.store.eras.newest),
-            ("store_returns", "its returns from a copy", self.store.eras.returns),
+            ("store_returns", "its returns from a copy", self.store.eras.restores),
             ("configuration_awaited", "versions that the store lost", self._awaited_count()),
             ("upstreams", "entries of upstreams", len(self.upstreams.by_id)),
             ("upstreams_cold", "upstreams that bear few requests yet", self.shares.count_cold()),
@@ -363,7 +363,9 @@
         budget = {"spent": self.budget.spent, "denied": self.budget.denied}
         lines = format_gauges(gauges)
         lines += format_counters("answers", "answers by status", self.front.counts)
-        lines += format_counters("requests_ended", "requests by how they ended", self.front.ends)
+        lines += format_counters(
+            "requests_ended", "requests by how they ended", self.front.outcome_counts
+        )
         by_size = self.front.sizes.rows()
         lines += format_labelled("requests_by_size", "prompts by size and end", by_size)
         lines += format_counters("dropped_writes", "log lines, other texts", count_dropped())
@@ -411,7 +413,7 @@
         """
         self.signals.note(number)
         self.stopping = True
-        self.front.closing = True
+        self.front.draining = True
         self.rollouts.stopping = True
         self.replaced.stopping = True
 
@@ -419,11 +421,11 @@
         """Serve on until the balancer has noticed, then until no request is under way."""
         fields = {"active": self.front.active, **self.signals.fields()}
         logger.info("Planned stop begins.", extra=fields)
-        eventlet.spawn(self.neighbours.list.leave)
+        eventlet.spawn(self.neighbours.host_list.leave)
         self._sleep_until(self.signals.first_at + ACCEPT_AFTER_STOP_S)
         # One round of the loop takes what arrived while the process got no processor.
         eventlet.sleep(0)
-        callers.pool.keep_waiting()
+        callers.pool.mark_unread_as_busy()
         # The runner closes idle connections as it ends, and goes on with the others.
         callers.server.kill()
         callers.listener.close()
@@ -432,7 +434,7 @@
         # stream, don't count as active.
         while (self.front.active or not callers.server.dead) and clocks.now_s() < latest:
             eventlet.sleep(STOP_STEP_S)
-        fields = cut_fields(self.front.under_way())
+        fields = interrupted_fields(self.front.active_requests())
         level = logging.WARNING if fields["cut"] else logging.INFO
         fields["signals"] = self.signals.count
         logger.log(level, "Host %s has stopped.", self.incarnation, extra=fields)
--- a/libs/serving/ruddersaddle_serving/load_shares.py
+++ b/libs/serving/ruddersaddle_serving/load_shares.py
@@ -20,7 +20,7 @@
 from ruddersaddle_serving.silences import Liveness
 from ruddersaddle_serving.tasks import spawn_forever
 from ruddersaddle_serving.trackers import Notice, Tracker, Trackers
-from ruddersaddle_serving.upstream_entries import UpstreamStart
+from ruddersaddle_serving.upstream_entries import UpstreamInstance
 from ruddersaddle_serving.upstream_lists import UpstreamList
 
 DIRECT_HOSTS_MAX = 12
@@ -134,7 +134,7 @@
         message = Notices(self.hosts.own.address, tuple(self._unsent))
         self._unsent = []
         targets = self.hosts.addresses() if self.is_direct else [self.hosts.hall_reader()]
-        self.peers.tell_all([each for each in targets if not self._is_own(each)], message)
+        self.peers.broadcast([each for each in targets if not self._is_own(each)], message)
 
     def apply_notices(self, message: Notices) -> None:
         """Apply the steps of another host's requests."""
@@ -146,8 +146,8 @@
         if tracker is not None:
             tracker.apply_notice(host, notice)
         if notice.leave is not None:
-            start = UpstreamStart(notice.upstream, notice.born_ms)
-            self.upstreams.note_leaving(start, notice.leave.request, host)
+            instance = UpstreamInstance(notice.upstream, notice.born_ms)
+            self.upstreams.record_leaving(instance, notice.leave.request, host)
 
     @property
     def is_aggregating(self) -> bool:
@@ -171,7 +171,7 @@
         """Send the sums of this hall to the other readers, or the totals to this hall."""
         message = LoadSums(self.hosts.own.address, is_total, self._sums(is_total))
         targets = self.hosts.hall_addresses() if is_total else self._other_readers()
-        self.peers.tell_all(targets, message)
+        self.peers.broadcast(targets, message)
 
     def _other_readers(self) -> list[str]:
         own_hall = self.hosts.own.hall
--- a/libs/serving/ruddersaddle_serving/placements.py
+++ b/libs/serving/ruddersaddle_serving/placements.py
@@ -186,7 +186,7 @@
     def check_available(self, tracker: Tracker) -> Failure | None:
         """Return why a request may no longer be sent to an upstream that was already chosen."""
         hall = tracker.entry.hall
-        if self.upstreams.is_leaving(tracker.entry.start):
+        if self.upstreams.is_leaving(tracker.entry.instance):
             detail = "since it was chosen, it reported that it leaves"
         elif self.publications.evacuations.is_in_force(hall):
             detail = f"since it was chosen, hall {hall} was evacuated"
--- a/libs/serving/ruddersaddle_serving/probes.py
+++ b/libs/serving/ruddersaddle_serving/probes.py
@@ -100,9 +100,9 @@
     def probe(self, tracker: Tracker) -> None:
         """Ask an upstream whether it is there, and tell the answer."""
         self.count += 1
-        presence = self.engines.presence(tracker.entry.address, tracker.entry.start)
+        presence = self.engines.presence(tracker.entry.address, tracker.entry.instance)
         match presence:
-            case Presence.HERE:
+            case Presence.PRESENT:
                 self._note_reached(tracker)
             case Presence.REPLACED:
                 self._tell(tracker, Progress.REPLACED)
@@ -115,5 +115,5 @@
         self._tell(tracker, Progress.PROBE_ANSWERED)
 
     def _tell(self, tracker: Tracker, progress: Progress) -> None:
-        start = tracker.entry.start
+        start = tracker.entry.instance
         self.tell(Notice(start.id, 0, progress, born_ms=start.born_ms))
--- a/libs/serving/ruddersaddle_serving/tests/test_placements.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_placements.py
@@ -192,7 +192,7 @@
 
     def test_old_weights_are_avoided_before_their_bound(self) -> None:
         self.publications.confirm(self.now, StorePosition(0, 1))
-        self.publications.take(ModelVersion(MODEL, 2))
+        self.publications.apply(ModelVersion(MODEL, 2))
         self.first.record_version(MODEL, 2)
         self.now += 9.0
         self.assertIsInstance(self.choose(), Choice)
@@ -203,9 +203,9 @@
     def test_bound_counts_from_the_first_newer_weights(self) -> None:
         """A second version published 4 s later must not extend the use of the oldest weights."""
         self.publications.confirm(self.now, StorePosition(0, 1))
-        self.publications.take(ModelVersion(MODEL, 2))
+        self.publications.apply(ModelVersion(MODEL, 2))
         self.now += 4.0
-        self.publications.take(ModelVersion(MODEL, 3))
+        self.publications.apply(ModelVersion(MODEL, 3))
         self.first.record_version(MODEL, 2)
         self.now += 6.0
         self.fill(self.first, CAPACITY)
@@ -252,12 +252,12 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.publications.take(Published(1, pools=(Pool(POOL, None, 3.0, 2.0),)))
+        self.publications.apply(Published(1, pools=(Pool(POOL, None, 3.0, 2.0),)))
         self.hosts.replace({})
         self.now += JOIN_S
 
     def turn_cold(self, tracker: Tracker) -> None:
-        self.upstreams.cold.take(tracker.entry.start, Heartbeat(1, 3.0))
+        self.upstreams.cold.take(tracker.entry.instance, Heartbeat(1, 3.0))
 
     def evacuate(self, hall: str) -> None:
         self.publications.evacuations.take(Evacuation(HallId(hall), in_force=True))
@@ -325,7 +325,7 @@
         self.assertEqual(self.placement.check_available(self.first).ran, Ran.NOT_RUN)
         self.evacuate("h")
         self.assertIn("evacuated", self.placement.check_available(self.second).detail)
-        self.upstreams.note_leaving(self.second.entry.start, RequestId("q"), "host")
+        self.upstreams.record_leaving(self.second.entry.instance, RequestId("q"), "host")
         self.assertIn("leaves", self.placement.check_available(self.second).detail)
 
 
--- a/libs/serving/ruddersaddle_serving/tests/test_trackers.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_trackers.py
@@ -29,7 +29,7 @@
 class MemoryTest(unittest.TestCase):
     def test_new_engine_has_its_memory_size_at_once(self) -> None:
         trackers = Trackers()
-        trackers.apply_route_table(make_table(1000))
+        trackers.apply_table(make_table(1000))
         tracker = trackers.get_or_create(make_entry("e-1"))
         tracker.apply_notice("host", Notice(tracker.id, 1, Progress.SENT, ASSIGNMENT))
         self.assertEqual(tracker.memory.cached_prefix_tokens("m/1", PARTS), 100)
@@ -38,7 +38,7 @@
         trackers = Trackers()
         tracker = trackers.get_or_create(make_entry("e-1"))
         for tokens in (1000, 500):
-            trackers.apply_route_table(make_table(tokens))
+            trackers.apply_table(make_table(tokens))
             self.assertEqual(tracker.memory.capacity_tokens, tokens)
 
 
--- a/libs/serving/ruddersaddle_serving/trackers.py
+++ b/libs/serving/ruddersaddle_serving/trackers.py
@@ -23,7 +23,7 @@
 )
 from ruddersaddle_serving.silences import REPORT_TTL_S, Liveness
 from ruddersaddle_serving.upstream_connections import UpstreamConnections
-from ruddersaddle_serving.upstream_entries import UpstreamEntry, UpstreamStart
+from ruddersaddle_serving.upstream_entries import UpstreamEntry, UpstreamInstance
 
 logger = logging.getLogger(__name__)
 
@@ -271,10 +271,15 @@
         limit = self.reported.rate_limit.after(report, request, is_ordinary)
         if limit is None and not report.leaving:
             return None
-        start = self.entry.start
+        instance = self.entry.instance
         leave = Leave(request) if report.leaving else None
         return Notice(
-            start.id, 0, Progress.SELF_REPORTED, born_ms=start.born_ms, limit=limit, leave=leave
+            instance.id,
+            0,
+            Progress.SELF_REPORTED,
+            born_ms=instance.born_ms,
+            limit=limit,
+            leave=leave,
         )
 
     def _apply_backoff(self, rest_s: float | Failure, request: RequestId | None) -> None:
@@ -283,7 +288,7 @@
         elif self.reported.rest(rest_s):
             logger.info(
                 "Upstream %s asked for a backoff of %.1f s.",
-                self.entry.start,
+                self.entry.instance,
                 rest_s,
                 extra={"request": request},
             )
@@ -291,7 +296,7 @@
     def _warn_malformed(self, failure: Failure, request: RequestId | None) -> None:
         logger.warning(
             "Self-report in an answer of upstream %s is malformed: %s.",
-            self.entry.start,
+            self.entry.instance,
             failure.detail,
             extra={"request": request},
         )
@@ -304,7 +309,7 @@
         if change is not LimitChange.NONE:
             logger.info(
                 "Rate limit of upstream %s has %s: %.2f requests a second.",
-                self.entry.start,
+                self.entry.instance,
                 change.value,
                 news.per_s,
                 extra={
@@ -344,12 +349,12 @@
 
     def __init__(self) -> None:
         self.by_id: dict[UpstreamId, Tracker] = {}
-        self._reported_by_instance: dict[UpstreamStart, Reported] = {}
+        self._reported_by_instance: dict[UpstreamInstance, Reported] = {}
         """State reported by instances whose entries were removed, latest last; entries may
         return."""
         self._memory_by_pool: dict[PoolId, int] = {}
 
-    def apply_route_table(self, table: RouteTable) -> None:
+    def apply_table(self, table: RouteTable) -> None:
         """Apply the memory sizes of engines from a configuration."""
         self._memory_by_pool = {
             pool.id: pool.engine.cache_tokens
@@ -370,7 +375,7 @@
             # tracker that they started with.
             if tracker is not None:
                 tracker.connections.close()
-            reported = self._reported_by_instance.pop(entry.start, None)
+            reported = self._reported_by_instance.pop(entry.instance, None)
             tracker = Tracker(entry, self._memory_tokens(entry), reported)
             tracker.load.service_time = self._typical_service_time(entry.pool)
             self._mark_predecessors_replaced(tracker)
@@ -405,7 +410,7 @@
     def _forget(self, tracker: Tracker) -> None:
         tracker.connections.close()
         if tracker.reported.is_bounding:
-            self._reported_by_instance[tracker.entry.start] = tracker.reported
+            self._reported_by_instance[tracker.entry.instance] = tracker.reported
         if len(self._reported_by_instance) > REPORTED_MAX:
             del self._reported_by_instance[next(iter(self._reported_by_instance))]
 
