--- a/libs/serving/ruddersaddle_serving/entry_hosts.py
+++ b/libs/serving/ruddersaddle_serving/entry_hosts.py
@@ -123,7 +123,7 @@
         self.quotas = UpstreamQuotas(self.hosts, self.publications, self.upstreams)
         self.cached_parts = CachedParts(engines)
         self.budget = RetryBudget(settings.number("bounds.retry_share") * BUDGET_SHARE)
-        self.publications.listeners += [self.trackers.take_table, self.cached_parts.apply_table]
+        self.publications.listeners += [self.trackers.apply_table, self.cached_parts.apply_table]
         self.crash_records = CrashRecords()
         self.crashes = CrashWatch(
             engines,
@@ -211,7 +211,7 @@
             self.cached_parts,
             self.crash_records,
         )
-        self.forwarder.placement.belief_lag_s = lambda: self.neighbours.loads.lag_s
+        self.forwarder.placement.view_lag_s = lambda: self.neighbours.loads.lag_s
         self.probes = Probes(self.neighbours.hosts, self.trackers, self.engines, self._tell_notice)
         self.parts = PartRelay(self.cached_parts, self.neighbours)
         lease_s = settings.number("bounds.lease_ms") / MS_PER_S
@@ -232,12 +232,14 @@
     def _take_report(self, upstream: UpstreamId, report: SelfReport) -> None:
         """Take what an upstream says of itself in its answer to a call of this host's own."""
         tracker = self.trackers.by_id.get(upstream)
-        notice = None if tracker is None else tracker.hear(report, None, is_ordinary=False)
+        notice = (
+            None if tracker is None else tracker.apply_self_report(report, None, is_ordinary=False)
+        )
         if notice is not None:
             self._tell_notice(notice)
 
     def _tell_notice(self, notice: Notice) -> None:
-        self.neighbours.loads.tell(notice)
+        self.neighbours.loads.broadcast(notice)
 
     # Running
 
@@ -398,7 +400,7 @@
         return sum(each.reported.rate_limit.is_advertised for each in self.trackers.by_id.values())
 
     def _silent_count(self) -> int:
-        return sum(each.is_silent for each in self.trackers.by_id.values())
+        return sum(each.is_unresponsive for each in self.trackers.by_id.values())
 
     # The planned stop
 
--- a/libs/serving/ruddersaddle_serving/request_sizes.py
+++ b/libs/serving/ruddersaddle_serving/request_sizes.py
@@ -1,8 +1,8 @@
-"""What sizes requests of a route have lately, and how requests of each size end.
+"""Recent request sizes of each route, and counts of how requests of each size end.
 
-Sizes are tokens in and out. They are told apart by what came lately on the same route, not by fixed
-figures: a size that is large for one kind of request is common for another. On-call sees from the
-counts whether large requests are served.
+Sizes are input and output tokens. Size bands are relative to recent requests of the same route, not
+fixed numbers: a size that is large on one route is common on another. The counts show operators
+whether large requests are served.
 """
 
 from bisect import bisect_left, insort
@@ -17,96 +17,104 @@
 T = TypeVar("T")
 
 RECENT_SIZES = 200
-"""Requests of a route that sizes are told apart by: a host sees these in 20 to 200 s."""
+"""Requests of a route that a size is compared with: a host gets this many in 20 to 200 s."""
 ROUTES_MAX = 32
-"""Routes that are counted, those used last; a deployment has a few with sizes."""
+"""Number of most recently used routes that are counted; a deployment has a few with sizes."""
 
 
 class SizeBand(Enum):
-    """Where a size stands among those of its route, from the smallest up."""
+    """Rank of a size among the recent sizes of its route, in ascending order."""
 
-    HALF = "smallest_half"
+    SMALLEST_HALF = "smallest_half"
     MIDDLE = "middle"
     """The fifth above the smallest half."""
-    FIFTH = "fifth_below_largest"
-    TENTH = "largest_tenth"
+    FIFTH_BELOW_LARGEST = "fifth_below_largest"
+    LARGEST_TENTH = "largest_tenth"
 
 
-BOUNDS = ((0.9, SizeBand.TENTH), (0.7, SizeBand.FIFTH), (0.5, SizeBand.MIDDLE))
-"""Share of the sizes that are smaller, from which on a size is in a band."""
+BAND_BOUNDS = (
+    (0.9, SizeBand.LARGEST_TENTH),
+    (0.7, SizeBand.FIFTH_BELOW_LARGEST),
+    (0.5, SizeBand.MIDDLE),
+)
+"""Lower bound of each band: the share of recent sizes that are smaller."""
 
 
 class RecentSizes:
-    """The sizes of the last requests of one route, in order of arrival and of size."""
+    """Sizes of the latest requests of one route, in order of arrival and of size."""
 
     def __init__(self) -> None:
-        self._arrived: deque[int] = deque()
-        self._ordered: list[int] = []
+        self._by_arrival: deque[int] = deque()
+        self._by_size: list[int] = []
 
-    def take(self, tokens: int) -> SizeBand:
-        """Take the size of a request; return where it stands among those before it."""
+    def record(self, tokens: int) -> SizeBand:
+        """Record the size of a request; return its band among the previous ones."""
         band = self._band(tokens)
-        insort(self._ordered, tokens)
-        self._arrived.append(tokens)
-        if len(self._arrived) > RECENT_SIZES:
-            del self._ordered[bisect_left(self._ordered, self._arrived.popleft())]
+        insort(self._by_size, tokens)
+        self._by_arrival.append(tokens)
+        if len(self._by_arrival) > RECENT_SIZES:
+            del self._by_size[bisect_left(self._by_size, self._by_arrival.popleft())]
         return band
 
     @property
     def median(self) -> int:
-        """The middle one of the sizes; at least one has come."""
-        return self._ordered[len(self._ordered) // 2]
+        """Median of the sizes; at least one must have been recorded."""
+        return self._by_size[len(self._by_size) // 2]
 
     def _band(self, tokens: int) -> SizeBand:
-        smaller = bisect_left(self._ordered, tokens)
-        for share, band in BOUNDS:
-            if self._ordered and smaller >= share * len(self._ordered):
+        smaller = bisect_left(self._by_size, tokens)
+        for share, band in BAND_BOUNDS:
+            if self._by_size and smaller >= share * len(self._by_size):
                 return band
-        return SizeBand.HALF
+        return SizeBand.SMALLEST_HALF
 
 
 class SizesByRoute:
-    """The sizes of lately used routes."""
+    """Sizes of the most recently used routes."""
 
     def __init__(self) -> None:
         self._by_route: OrderedDict[RouteName, RecentSizes] = OrderedDict()
 
-    def take(self, route: RouteName, tokens: int) -> SizeBand:
-        """Take the size of a request; return where it stands among those of its route before it."""
-        return _use(self._by_route, route, RecentSizes).take(tokens)
+    def record(self, route: RouteName, tokens: int) -> SizeBand:
+        """Record the size of a request; return its band among the previous ones of its route."""
+        return _get_or_create(self._by_route, route, RecentSizes).record(tokens)
 
-    def common_share(self, route: RouteName, tokens: int) -> float:
-        """Return what part of this size a common one of its route is; 1 where it is no larger."""
+    def median_share(self, route: RouteName, tokens: int) -> float:
+        """Return the route's median size as a share of this size; at most 1."""
         recent = self._by_route.get(route)
         return 1.0 if recent is None else min(1.0, recent.median / max(1, tokens))
 
 
 class SizeCounts:
-    """Ends of requests by route, size and how they ended."""
+    """Counts how requests ended, by route and size band."""
 
     def __init__(self) -> None:
         self._sizes = SizesByRoute()
-        self._ends_by_route: OrderedDict[RouteName, Counter[tuple[SizeBand, str]]] = OrderedDict()
+        self._end_counts_by_route: OrderedDict[RouteName, Counter[tuple[SizeBand, str]]] = (
+            OrderedDict()
+        )
 
-    def take(self, route: RouteName, tokens: int) -> SizeBand:
-        """Take that a request of this size came; return where its size stands."""
-        return self._sizes.take(route, tokens)
+    def record(self, route: RouteName, tokens: int) -> SizeBand:
+        """Record the size of a new request; return its band."""
+        return self._sizes.record(route, tokens)
 
-    def count(self, route: RouteName, band: SizeBand, end: str) -> None:
-        """Count how a request ended: served, or by what cause it was not."""
-        _use(self._ends_by_route, route, Counter)[band, end] += 1
+    def count_end(self, route: RouteName, band: SizeBand, end: str) -> None:
+        """Count the end of a request: served, or the cause why it was not."""
+        _get_or_create(self._end_counts_by_route, route, Counter)[band, end] += 1
 
     def rows(self) -> list[tuple[Labels, int]]:
         """Return the counts with their labels, for the metrics page."""
         return [
             ({"route": route, "size": band.value, "end": end}, count)
-            for route, ends in self._ends_by_route.items()
+            for route, ends in self._end_counts_by_route.items()
             for (band, end), count in ends.items()
         ]
 
 
-def _use(by_route: OrderedDict[RouteName, T], route: RouteName, make: Callable[[], T]) -> T:
-    """Return what is kept of a route, made if it is new; the routes used last are kept."""
+def _get_or_create(
+    by_route: OrderedDict[RouteName, T], route: RouteName, make: Callable[[], T]
+) -> T:
+    """Return the value of a route, created if missing; evict the least recently used route."""
     if route not in by_route:
         by_route[route] = make()
     by_route.move_to_end(route)
--- a/libs/serving/ruddersaddle_serving/upstream_quotas.py
+++ b/libs/serving/ruddersaddle_serving/upstream_quotas.py
@@ -79,7 +79,7 @@
         if pool is None or not pool.cold_per_s:
             return float("-inf")
         resumed_at = max(
-            tracker.silence.ended_at,
+            tracker.liveness.recovered_at,
             self.publications.evacuations.ended_at(tracker.entry.hall),
         )
         reported_until = self.upstreams.cold.until(tracker.entry.instance)
@@ -107,7 +107,7 @@
 
     def record_sent(self, tracker: Tracker) -> None:
         """Count a request to an upstream, bounded or not, as a bound may start at any moment."""
-        tracker.sends.note(clocks.now_s())
+        tracker.sends.record(clocks.now_s())
         self.cold_sent += self.is_cold(tracker)
         self.limited_sent += tracker.reported.rate_limit.is_advertised
 
--- a/libs/serving/ruddersaddle_serving/weighings.py
+++ b/libs/serving/ruddersaddle_serving/weighings.py
@@ -1,4 +1,4 @@
-"""What a prompt would cost at each of some engines."""
+"""Estimates the time to first event of a prompt on candidate engines."""
 
 import random
 
@@ -6,73 +6,75 @@
 from ruddersaddle_base.ids import HallId, ModelId
 
 from ruddersaddle_serving.admissions import (
-    Room,
-    Standing,
+    Backlog,
+    Capacity,
     admission_wait_s,
     excess_s,
     predict_wait_s,
 )
 from ruddersaddle_serving.cached_parts import CachedParts, make_salt
 from ruddersaddle_serving.context_stores import StoreView
-from ruddersaddle_serving.paces import nominal_work_s
+from ruddersaddle_serving.paces import nominal_prefill_s
 from ruddersaddle_serving.prompts import CallerRequest, Prompt
 from ruddersaddle_serving.trackers import Tracker
 
 
 class Estimate(msgspec.Struct, frozen=True):
-    """What a prompt would cost at one engine, in seconds."""
+    """Predicted cost of a prompt on one engine, in seconds."""
 
     tracker: Tracker
     version: int | None
     salt: str
     wait_s: float
-    """Wait for what is as urgent as the request."""
+    """Wait behind requests of the same or a higher priority."""
     admission_wait_s: float
-    """The same as it decides: longer where the request would take what is kept for others."""
-    standing: Standing
-    """What stands at the engine for what is as urgent."""
-    room: Room
+    """Wait used for admission: longer if the request would use capacity reserved for others."""
+    backlog: Backlog
+    """What is queued and running at the engine, as seen by the request's priority."""
+    capacity: Capacity
     fetch_s: float
-    work_s: float
-    """Nominal time that the engine reads until the first event."""
-    pace: float
-    """What the engine takes to read, as a multiple of the nominal time."""
-    start_s: float
-    """What its first events take beside reading."""
+    prefill_s: float
+    """Nominal prefill time until the first event."""
+    prefill_factor: float
+    """Observed prefill time of the engine, as a multiple of the nominal time."""
+    overhead_s: float
+    """Time until a first event beside queueing and prefill."""
     tokens: int
-    """Memory that the request needs at the engine."""
+    """Memory that the request needs on the engine."""
     covered_tokens: int
     missing_tokens: int
 
     @property
     def first_s(self) -> float:
         """Predicted time until the first event."""
-        return self.wait_s + self.start_s + self.fetch_s + self.work_s * self.pace
+        return self.wait_s + self.overhead_s + self.fetch_s + self.prefill_s * self.prefill_factor
 
     @property
     def admission_s(self) -> float:
-        """Time until the first event as it decides where a request goes, and whether."""
+        """Time until the first event as used to choose an engine and to admit the request."""
         return self.first_s - self.wait_s + self.admission_wait_s
 
     def excess_s(self, request: CallerRequest, share: float = 1.0) -> float:
-        """Return how much too late the first event would come; at most 0 if it is let in.
+        """Return by how much the first event would be too late; at most 0 if it is admitted.
 
-        `share` is the part that is counted of what the request needs: reading, fetching and memory.
+        `share` scales what is counted of the request's prefill, fetch time and memory.
         """
         tokens = round(self.tokens * share)
-        wait_s = admission_wait_s(self.standing, self.room, tokens, request.priority)
-        first_s = wait_s + self.start_s + share * (self.fetch_s + self.work_s * self.pace)
-        memory_share = tokens / max(1, self.room.tokens)
+        wait_s = admission_wait_s(self.backlog, self.capacity, tokens, request.priority)
+        first_s = (
+            wait_s + self.overhead_s + share * (self.fetch_s + self.prefill_s * self.prefill_factor)
+        )
+        memory_share = tokens / max(1, self.capacity.tokens)
         return excess_s(first_s, wait_s, request.route.target_latency_s, memory_share)
 
-    def note(self) -> str:
-        """Return the engine, its predicted time and wait in ms, and the tokens it has to read."""
+    def summary(self) -> str:
+        """Return the engine, its predicted time and wait in ms, and the tokens to prefill."""
         first_ms, wait_ms = round(self.first_s * 1000), round(self.wait_s * 1000)
         return f"{self.tracker.id} {first_ms} {wait_ms} {self.missing_tokens}"
 
 
-class Weighing:
-    """Estimates of one prompt; stores are looked through once for each salt."""
+class CostEstimator:
+    """Estimates the cost of one prompt; context stores are searched once for each salt."""
 
     def __init__(self, request: CallerRequest, prompt: Prompt, cached_parts: CachedParts) -> None:
         self.request = request
@@ -81,20 +83,21 @@
         self.estimates: list[Estimate] = []
         self.holders_by_salt: dict[str, list[StoreView | None]] = {}
 
-    def weigh(self, trackers: list[Tracker], margin_s: float = 0.0) -> Estimate:
-        """Return the estimate that admission finds earliest; of equal ones the first tracker's.
+    def pick_earliest(self, trackers: list[Tracker], margin_s: float = 0.0) -> Estimate:
+        """Return the estimate with the earliest first event; the first tracker's among equals.
 
-        What is later by less than `margin_s` is as good: of these one is drawn to which a
-        connection stands, so that hosts with the same old belief don't all send to one engine.
+        Estimates within `margin_s` of the earliest count as tied. One of these is drawn at random,
+        preferably with an idle connection, so that hosts with the same outdated view don't all send
+        to one engine.
         """
         estimates = [self._estimate(each) for each in trackers]
         self.estimates += estimates
         best = min(estimates, key=lambda each: each.admission_s)
         if margin_s <= 0:
             return best
-        alike = [each for each in estimates if each.admission_s <= best.admission_s + margin_s]
-        connected = [each for each in alike if each.tracker.connections.has_idle]
-        return random.choice(connected or alike)
+        tied = [each for each in estimates if each.admission_s <= best.admission_s + margin_s]
+        connected = [each for each in tied if each.tracker.connections.has_idle]
+        return random.choice(connected or tied)
 
     def _estimate(self, tracker: Tracker) -> Estimate:
         prompt = self.prompt
@@ -103,48 +106,48 @@
         salt = self._salt(prompt.model, version)
         if salt not in self.holders_by_salt:
             self.holders_by_salt[salt] = self.cached_parts.find_holders(salt, prompt)
-        covered = tracker.memory.leading_tokens(salt, prompt.shared_parts)
-        fetched, fetch_s = _add_fetched(
-            prompt, covered, self.holders_by_salt[salt], tracker.entry.hall
+        cached = tracker.memory.cached_prefix_tokens(salt, prompt.shared_parts)
+        fetched, fetch_s = _fetchable_parts(
+            prompt, cached, self.holders_by_salt[salt], tracker.entry.hall
         )
-        missing = max(0, prompt.tokens_in - covered - fetched)
+        missing = max(0, prompt.tokens_in - cached - fetched)
         tokens = prompt.tokens
-        room = Room(tracker.entry.slots, tracker.memory.capacity_tokens)
-        standing = tracker.load.standing(priority)
+        capacity = Capacity(tracker.entry.slots, tracker.memory.capacity_tokens)
+        backlog = tracker.load.backlog(priority)
         return Estimate(
             tracker=tracker,
             version=version,
             salt=salt,
-            wait_s=predict_wait_s(standing, room, tokens),
-            admission_wait_s=admission_wait_s(standing, room, tokens, priority),
-            standing=standing,
-            room=room,
+            wait_s=predict_wait_s(backlog, capacity, tokens),
+            admission_wait_s=admission_wait_s(backlog, capacity, tokens, priority),
+            backlog=backlog,
+            capacity=capacity,
             fetch_s=fetch_s,
-            work_s=nominal_work_s(missing),
-            pace=tracker.load.pace.factor,
-            start_s=tracker.load.pace.start_s,
+            prefill_s=nominal_prefill_s(missing),
+            prefill_factor=tracker.load.service_time.factor,
+            overhead_s=tracker.load.service_time.overhead_s,
             tokens=tokens,
-            covered_tokens=covered,
+            covered_tokens=cached,
             missing_tokens=missing,
         )
 
     def _salt(self, model: ModelId, version: int | None) -> str:
-        """Return the name under which parts are kept: one for each weights and each wall."""
+        """Return the namespace of cached parts: one per weights and per dedicated workspace."""
         workspace = self.request.workspace
-        wall = workspace.id if workspace is not None and workspace.dedicated else None
-        return make_salt(model, version or 0, wall)
+        isolation = workspace.id if workspace is not None and workspace.dedicated else None
+        return make_salt(model, version or 0, isolation)
 
 
-def _add_fetched(
-    prompt: Prompt, covered: int, holders: list[StoreView | None], hall: HallId
+def _fetchable_parts(
+    prompt: Prompt, cached: int, holders: list[StoreView | None], hall: HallId
 ) -> tuple[int, float]:
-    """Return the tokens of the parts after the covered ones that can be fetched, and the time."""
+    """Return the tokens of the parts after the cached ones that can be fetched, and their time."""
     fetched = 0
     fetch_s = 0.0
     passed = 0
     for part, holder in zip(prompt.shared_parts, holders, strict=True):
         passed += part.tokens
-        if passed <= covered:
+        if passed <= cached:
             continue
         if holder is None:
             break
