--- a/libs/serving/ruddersaddle_serving/crash_records.py
+++ b/libs/serving/ruddersaddle_serving/crash_records.py
@@ -4,7 +4,7 @@
 copies at once. All other runs end with each upstream, so that every crash has dozens of suspects.
 What tells the cause from the others: it is in every crash, and never ends whole. So:
 
-- A request is refused once it was in the crashes of `CRASHES_MAX` starts of upstreams.
+- A request is refused once it was in the crashes of `CRASHES_MAX` instances of upstreams.
 - One that ends whole is cleared; one that ended whole just before a crash is no suspect of it,
   which keeps requests that everybody sends out of it.
 - Crashes that a refused request explains count against nobody else.
@@ -39,36 +39,36 @@
 has only begun to crash upstreams from its first crashes."""
 SUSPECTS_MAX = 4096
 """Requests that are remembered: 32 engines with 128 runs each; 0.6 MB of memory (tracemalloc)."""
-STARTS_MAX = 12
+INSTANCES_MAX = 12
 """Crashes of one request that are remembered; more make its refusal no longer."""
 CLEARED_MS = 60_000
 """How long it is told that a request was cleared; hosts ask each other every 0.6 s."""
 
 
 class Crash(msgspec.Struct, frozen=True, array_like=True):
-    """One start of an upstream that ended without notice, and what it ran or had queued."""
+    """One instance of an upstream that ended without notice, and what it ran or had queued."""
 
-    start: UpstreamStart
+    instance: UpstreamStart
     fingerprints: tuple[Fingerprint, ...]
 
 
 class CrashRecord(msgspec.Struct, frozen=True, array_like=True):
-    """The starts of upstreams that ended under one request."""
+    """The instances of upstreams that ended under one request."""
 
     fingerprint: Fingerprint
-    starts: tuple[UpstreamStart, ...]
+    instances: tuple[UpstreamStart, ...]
     last_ms: int
     """When the last of them ended."""
 
     @property
     def is_verdict(self) -> bool:
         """Whether these are enough to refuse the request."""
-        return len(self.starts) >= CRASHES_MAX
+        return len(self.instances) >= CRASHES_MAX
 
     @property
     def until_ms(self) -> int:
         """Until when the request is refused, or suspected."""
-        doublings = max(0, len(self.starts) - CRASHES_MAX)
+        doublings = max(0, len(self.instances) - CRASHES_MAX)
         return self.last_ms + min(VERDICT_MAX_MS, VERDICT_MS << doublings)
 
     def is_over(self, now_ms: int) -> bool:
@@ -79,13 +79,13 @@
         spare_ms = self.until_ms - self.last_ms if self.is_verdict else 0
         return now_ms >= self.until_ms + spare_ms
 
-    def with_starts(self, starts: Iterable[UpstreamStart], last_ms: int) -> "CrashRecord":
+    def with_instances(self, instances: Iterable[UpstreamStart], last_ms: int) -> "CrashRecord":
         """Return the record with further crashes.
 
         Which ones are kept doesn't hang on the order in which hosts heard of them, so that all of
         them come to the same record.
         """
-        kept = tuple(sorted({*self.starts, *starts}, key=str)[:STARTS_MAX])
+        kept = tuple(sorted({*self.instances, *instances}, key=str)[:INSTANCES_MAX])
         return CrashRecord(self.fingerprint, kept, max(self.last_ms, last_ms))
 
 
@@ -101,7 +101,7 @@
         self._whole_at: dict[Fingerprint, int] = {}
         """Requests that ended whole a moment ago, the latest last."""
         self._cleared_at: dict[Fingerprint, int] = {}
-        self._cause_by_start: dict[UpstreamStart, Fingerprint] = {}
+        self._cause_by_instance: dict[UpstreamStart, Fingerprint] = {}
         """Starts whose end a refused request explains."""
 
     # What was seen
@@ -109,7 +109,7 @@
     def note_crash(self, crash: Crash, now_ms: int) -> list[CrashRecord]:
         """Take a crash; return the records that it changed."""
         suspects = self._suspects(crash, now_ms)
-        changed = [self._extend(each, (crash.start,), now_ms) for each in suspects]
+        changed = [self._extend(each, (crash.instance,), now_ms) for each in suspects]
         self._explain(changed)
         return changed
 
@@ -120,7 +120,7 @@
         causes = [each for each in found if self._is_refused(each)]
         if causes:
             return causes
-        cause = self._cause_by_start.get(crash.start)
+        cause = self._cause_by_instance.get(crash.instance)
         return found if cause is None else [each for each in found if each == cause]
 
     def merge(self, record: CrashRecord, now_ms: int) -> CrashRecord:
@@ -128,13 +128,15 @@
         fingerprint = record.fingerprint
         cleared_ms = self._cleared_at.get(fingerprint)
         is_stale = cleared_ms is not None and record.last_ms <= cleared_ms
-        starts = record.starts
+        instances = record.instances
         if not record.is_verdict:
-            cause_of = self._cause_by_start.get
-            starts = tuple(each for each in starts if cause_of(each, fingerprint) == fingerprint)
-        if is_stale or not starts or record.is_over(now_ms):
+            cause_of = self._cause_by_instance.get
+            instances = tuple(
+                each for each in instances if cause_of(each, fingerprint) == fingerprint
+            )
+        if is_stale or not instances or record.is_over(now_ms):
             return record
-        merged = self._extend(fingerprint, starts, record.last_ms)
+        merged = self._extend(fingerprint, instances, record.last_ms)
         self._explain([merged])
         return merged
 
@@ -172,14 +174,14 @@
         return record
 
     def count(self, fingerprint: Fingerprint) -> int:
-        """Return how many starts are known to have ended under a request."""
+        """Return how many instances are known to have ended under a request."""
         record = self.by_fingerprint.get(fingerprint)
-        return 0 if record is None else len(record.starts)
+        return 0 if record is None else len(record.instances)
 
     def shared(self) -> tuple[CrashRecord, ...]:
         """Return the records that all hosts have to know."""
         records = self.by_fingerprint.values()
-        return tuple(each for each in records if len(each.starts) >= SHARED_MIN)
+        return tuple(each for each in records if len(each.instances) >= SHARED_MIN)
 
     def recently_cleared(self) -> tuple[Fingerprint, ...]:
         """Return the requests that were cleared a short while ago."""
@@ -198,19 +200,19 @@
         return record is not None and record.is_verdict
 
     def _extend(
-        self, fingerprint: Fingerprint, starts: Iterable[UpstreamStart], last_ms: int
+        self, fingerprint: Fingerprint, instances: Iterable[UpstreamStart], last_ms: int
     ) -> CrashRecord:
         known = self.by_fingerprint.get(fingerprint)
         if known is None:
             self._make_room()
             known = CrashRecord(fingerprint, (), last_ms)
-        record = known.with_starts(starts, last_ms)
+        record = known.with_instances(instances, last_ms)
         self.by_fingerprint[fingerprint] = record
         self._cleared_at.pop(fingerprint, None)
-        if record.starts != known.starts and len(record.starts) >= SHARED_MIN:
+        if record.instances != known.instances and len(record.instances) >= SHARED_MIN:
             self.revision += 1
         if record.is_verdict and not known.is_verdict:
-            names = ", ".join(map(str, record.starts))
+            names = ", ".join(map(str, record.instances))
             logger.warning("Request %s is refused: under it ended %s.", fingerprint, names)
         return record
 
@@ -218,21 +220,21 @@
         """Hold crashes under refused requests against nobody else."""
         verdicts = [each for each in records if each.is_verdict]
         new = {
-            start: each.fingerprint
+            instance: each.fingerprint
             for each in verdicts
-            for start in each.starts
-            if start not in self._cause_by_start
+            for instance in each.instances
+            if instance not in self._cause_by_instance
         }
         if not new:
             return
-        self._cause_by_start.update(new)
+        self._cause_by_instance.update(new)
         for record in list(self.by_fingerprint.values()):
-            left = tuple(start for start in record.starts if start not in new)
-            if record.is_verdict or left == record.starts:
+            left = tuple(instance for instance in record.instances if instance not in new)
+            if record.is_verdict or left == record.instances:
                 continue
             if left:
                 self.by_fingerprint[record.fingerprint] = msgspec.structs.replace(
-                    record, starts=left
+                    record, instances=left
                 )
             else:
                 self._drop(record)
@@ -242,16 +244,16 @@
         if len(self.by_fingerprint) < SUSPECTS_MAX:
             return
         records = self.by_fingerprint.values()
-        single = (each for each in records if len(each.starts) < SHARED_MIN)
+        single = (each for each in records if len(each.instances) < SHARED_MIN)
         self._drop(next(single, None) or next(iter(records)))
 
     def _drop(self, record: CrashRecord) -> None:
         del self.by_fingerprint[record.fingerprint]
-        if len(record.starts) >= SHARED_MIN:
+        if len(record.instances) >= SHARED_MIN:
             self.revision += 1
-        for start in record.starts:
-            if self._cause_by_start.get(start) == record.fingerprint:
-                del self._cause_by_start[start]
+        for instance in record.instances:
+            if self._cause_by_instance.get(instance) == record.fingerprint:
+                del self._cause_by_instance[instance]
 
     def _forget_whole(self, now_ms: int) -> None:
         """Forget whole runs that are too long ago; the oldest come first."""
--- a/libs/serving/ruddersaddle_serving/crash_shares.py
+++ b/libs/serving/ruddersaddle_serving/crash_shares.py
@@ -71,7 +71,7 @@
     """What waits to be told."""
 
     def __init__(self) -> None:
-        self.fingerprints_by_start: dict[UpstreamStart, dict[Fingerprint, None]] = {}
+        self.fingerprints_by_instance: dict[UpstreamStart, dict[Fingerprint, None]] = {}
         self.cleared: dict[Fingerprint, None] = {}
 
 
@@ -137,14 +137,15 @@
             unsent = self._unsent_by_hop[hop] = Unsent()
             eventlet.spawn_after(TELL_S, self._tell, hop)
         for crash in crashes:
-            found = unsent.fingerprints_by_start.setdefault(crash.start, {})
+            found = unsent.fingerprints_by_instance.setdefault(crash.instance, {})
             found.update(dict.fromkeys(crash.fingerprints))
         unsent.cleared.update(dict.fromkeys(cleared))
 
     def _tell(self, hop: Hop) -> None:
         unsent = self._unsent_by_hop.pop(hop)
         crashes = tuple(
-            Crash(start, tuple(found)) for start, found in unsent.fingerprints_by_start.items()
+            Crash(instance, tuple(found))
+            for instance, found in unsent.fingerprints_by_instance.items()
         )
         news = CrashNews(self.hosts.own.address, crashes, tuple(unsent.cleared), hop)
         self.peers.tell_all(self._targets(hop), news)
@@ -183,7 +184,7 @@
 
     def _note(self, crash: Crash, delay_s: float) -> None:
         for record in self.records.note_crash(crash, clocks.unix_ms()):
-            if len(record.starts) >= SHARED_MIN and self._may_write(record.fingerprint):
+            if len(record.instances) >= SHARED_MIN and self._may_write(record.fingerprint):
                 self._write_soon(record.fingerprint, delay_s)
 
     def _may_write(self, fingerprint: Fingerprint) -> bool:
@@ -232,7 +233,7 @@
         """Take what others know, and write what the store lacks of it."""
         for told in records:
             merged = self.records.merge(told, clocks.unix_ms())
-            is_more = merged.starts != told.starts and len(merged.starts) >= SHARED_MIN
+            is_more = merged.instances != told.instances and len(merged.instances) >= SHARED_MIN
             if is_more and self._may_write(merged.fingerprint):
                 self._write_soon(merged.fingerprint, LATER_S)
 
@@ -261,11 +262,11 @@
         """Return whether the store should have something else of a request."""
         stored = self._stored.get(fingerprint)
         known = self.records.by_fingerprint.get(fingerprint)
-        if known is None or len(known.starts) < SHARED_MIN:
+        if known is None or len(known.instances) < SHARED_MIN:
             return stored is not None
         if stored is None:
             return known.is_verdict or len(self._stored) < OUT_MAX
-        return not set(known.starts) <= set(stored.starts)
+        return not set(known.instances) <= set(stored.instances)
 
     def _write(self) -> None:
         """Write until the store has what it lacked; a store that is away is tried again."""
--- a/libs/serving/ruddersaddle_serving/crash_watches.py
+++ b/libs/serving/ruddersaddle_serving/crash_watches.py
@@ -1,7 +1,7 @@
 """Finds out whether upstreams have ended under runs that broke off, and refuses what ends them.
 
 To a run, the crash of its upstream and the reset of one connection look alike. The upstream's
-address tells them apart: after a crash it refuses connections until the next start answers.
+address tells them apart: after a crash it refuses connections until the next instance answers.
 """
 
 import logging
@@ -22,13 +22,13 @@
 logger = logging.getLogger(__name__)
 
 LOOK_PAUSES_S = (0.0, 0.1, 0.3, 0.6, 1.0, 2.0)
-"""Pauses before the looks at an address, 4 s in all: a start that has ended keeps its entry for
+"""Pauses before the looks at an address, 4 s in all: a instance that has ended keeps its entry for
 three heartbeats (3.6 s)."""
 DOWN_MIN = 2
 """Looks that have to find nobody there. An upstream that has as many connections as it takes resets
 any further one; some 0.1 s later there is room."""
 FINGERPRINTS_MAX = 256
-"""Broken runs that are remembered for one start; an upstream runs 128 at once."""
+"""Broken runs that are remembered for one instance; an upstream runs 128 at once."""
 SETTLE_S = 0.5
 """Longest wait for the outcome of a look; two looks that find nobody take 0.1 s."""
 SETTLE_STEP_S = 0.01
@@ -54,7 +54,7 @@
         self.counts = {"crash": 0, "reset": 0, "refused": 0}
         """Upstreams that ended under runs of this host, upstreams that lived on after a run had
         broken off, and requests that were refused for the crashes they caused."""
-        self._broken_by_start: dict[UpstreamStart, dict[Fingerprint, None]] = {}
+        self._broken_by_instance: dict[UpstreamStart, dict[Fingerprint, None]] = {}
 
     # What is decided
 
@@ -68,10 +68,10 @@
         if record is None:
             return None
         self.counts["refused"] += 1
-        names = ", ".join(map(str, record.starts[:CRASHES_MAX]))
+        names = ", ".join(map(str, record.instances[:CRASHES_MAX]))
         ago_s = (now_ms - record.last_ms) / MS_PER_S
         detail = (
-            f"{len(record.starts)} upstreams ended under it, the last {ago_s:.1f} s ago: {names}"
+            f"{len(record.instances)} upstreams ended under it, the last {ago_s:.1f} s ago: {names}"
         )
         left_s = (record.until_ms - now_ms) / MS_PER_S
         return Failure(Code.CRASHES_UPSTREAMS, Step.ADMIT, pool, detail, retry_after_s=left_s)
@@ -102,8 +102,8 @@
         if listed is None or listed.leaving:
             # Its end was planned: it said so, or took its entry back and served on a while.
             return
-        is_watched = entry.start in self._broken_by_start
-        broken = self._broken_by_start.setdefault(entry.start, {})
+        is_watched = entry.start in self._broken_by_instance
+        broken = self._broken_by_instance.setdefault(entry.start, {})
         if len(broken) < FINGERPRINTS_MAX:
             broken[fingerprint] = None
         if not is_watched:
@@ -111,29 +111,29 @@
 
     def is_open(self, fingerprint: Fingerprint) -> bool:
         """Return whether it isn't known yet if a run of this request ended its upstream."""
-        return any(fingerprint in broken for broken in self._broken_by_start.values())
+        return any(fingerprint in broken for broken in self._broken_by_instance.values())
 
-    def _look(self, tracker: Tracker, start: UpstreamStart) -> None:
+    def _look(self, tracker: Tracker, instance: UpstreamStart) -> None:
         try:
-            has_ended = self._has_ended(tracker, start)
+            has_ended = self._has_ended(tracker, instance)
         finally:
-            broken = tuple(self._broken_by_start.pop(start))
+            broken = tuple(self._broken_by_instance.pop(instance))
         if not has_ended:
             self.counts["reset"] += 1
-            logger.info("Upstream %s lives; %d runs there broke off.", start, len(broken))
+            logger.info("Upstream %s lives; %d runs there broke off.", instance, len(broken))
             return
         self.counts["crash"] += 1
         fields = {"fingerprints": broken}
-        logger.warning("Upstream %s ended under %d runs.", start, len(broken), extra=fields)
-        self.tell_crash(Crash(start, broken))
+        logger.warning("Upstream %s ended under %d runs.", instance, len(broken), extra=fields)
+        self.tell_crash(Crash(instance, broken))
 
-    def _has_ended(self, tracker: Tracker, start: UpstreamStart) -> bool:
+    def _has_ended(self, tracker: Tracker, instance: UpstreamStart) -> bool:
         down = 0
         for pause_s in LOOK_PAUSES_S:
             eventlet.sleep(pause_s)
-            if tracker.is_replaced or tracker.entry.start != start:
+            if tracker.is_replaced or tracker.entry.start != instance:
                 return True
-            match self.engines.presence(tracker.entry.address, start):
+            match self.engines.presence(tracker.entry.address, instance):
                 case Presence.HERE:
                     return False
                 case Presence.REPLACED:
--- a/libs/serving/ruddersaddle_serving/tests/test_crash_records.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_crash_records.py
@@ -6,7 +6,7 @@
 
 from ruddersaddle_serving.crash_records import (
     CRASHES_MAX,
-    STARTS_MAX,
+    INSTANCES_MAX,
     SUSPECTS_MAX,
     VERDICT_MS,
     WHOLE_TRUST_MS,
@@ -20,7 +20,7 @@
 BAD, OTHER, COMMON = Fingerprint("bad"), Fingerprint("other"), Fingerprint("common")
 
 
-def start(number: int) -> UpstreamStart:
+def instance(number: int) -> UpstreamStart:
     """Return a start of an upstream."""
     return UpstreamStart(UpstreamId(f"e-{number}"), 1000 + number)
 
@@ -32,7 +32,7 @@
 
     def crash(self, number: int, *fingerprints: Fingerprint) -> None:
         self.now_ms += 100
-        self.records.note_crash(Crash(start(number), fingerprints), self.now_ms)
+        self.records.note_crash(Crash(instance(number), fingerprints), self.now_ms)
 
     def is_refused(self, fingerprint: Fingerprint) -> bool:
         return self.records.find_verdict(fingerprint, self.now_ms) is not None
@@ -106,12 +106,12 @@
 
     def test_told_record_of_explained_crashes_counts_against_nobody(self) -> None:
         self.refuse(BAD)
-        self.records.merge(CrashRecord(OTHER, (start(0), start(1)), self.now_ms), self.now_ms)
+        self.records.merge(CrashRecord(OTHER, (instance(0), instance(1)), self.now_ms), self.now_ms)
         self.assertEqual(self.records.count(OTHER), 0)
 
     def test_hosts_that_saw_different_crashes_find_the_cause_together(self) -> None:
         self.crash(0, BAD)
-        self.records.merge(CrashRecord(BAD, (start(1), start(2)), self.now_ms), self.now_ms)
+        self.records.merge(CrashRecord(BAD, (instance(1), instance(2)), self.now_ms), self.now_ms)
         self.assertTrue(self.is_refused(BAD))
 
     def test_refusal_lasts_twice_as_long_with_each_further_crash(self) -> None:
@@ -142,7 +142,7 @@
         self.now_ms += VERDICT_MS
         self.records.sweep(self.now_ms)
         self.assertEqual(self.records.by_fingerprint, {})
-        self.assertEqual(self.records._cause_by_start, {})
+        self.assertEqual(self.records._cause_by_instance, {})
 
     def test_flood_of_crashing_requests_takes_bounded_memory(self) -> None:
         self.refuse(BAD)
@@ -150,12 +150,12 @@
             self.crash(100 + number, Fingerprint(f"f-{number}"))
         self.assertEqual(len(self.records.by_fingerprint), SUSPECTS_MAX)
         self.assertTrue(self.is_refused(BAD))
-        for number in range(2 * STARTS_MAX):
+        for number in range(2 * INSTANCES_MAX):
             self.crash(9000 + number, BAD)
-        self.assertEqual(self.records.count(BAD), STARTS_MAX)
+        self.assertEqual(self.records.count(BAD), INSTANCES_MAX)
 
     def test_stale_word_of_a_cleared_request_is_passed_over(self) -> None:
-        record = CrashRecord(OTHER, (start(0), start(1)), self.now_ms)
+        record = CrashRecord(OTHER, (instance(0), instance(1)), self.now_ms)
         self.records.merge(record, self.now_ms)
         self.now_ms += 1
         self.records.clear(OTHER, self.now_ms)
--- a/libs/serving/ruddersaddle_serving/tests/test_crash_shares.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_crash_shares.py
@@ -63,7 +63,7 @@
             self.by_address[address].take(message)
 
 
-def start(number: int) -> UpstreamStart:
+def instance(number: int) -> UpstreamStart:
     """Return a start of an upstream."""
     return UpstreamStart(UpstreamId(f"e-{number}"), 1000 + number)
 
@@ -101,14 +101,14 @@
     def test_crashes_seen_by_three_hosts_are_put_together(self) -> None:
         fleet = self.make_fleet(3, 2)
         for number in range(3):
-            fleet[number].tell_crash(Crash(start(number), (BAD,)))
+            fleet[number].tell_crash(Crash(instance(number), (BAD,)))
         self.settle()
         self.assertEqual(self.refusing(fleet), 6)
 
     def test_many_hosts_hear_of_it_by_their_readers(self) -> None:
         fleet = self.make_fleet(4, 10)
         for number in range(3):
-            fleet[7 * number].tell_crash(Crash(start(number), (BAD,)))
+            fleet[7 * number].tell_crash(Crash(instance(number), (BAD,)))
         self.settle()
         self.assertEqual(self.refusing(fleet), 40)
         self.assertLessEqual(self.peers.sent, 3 * 40)
@@ -116,7 +116,7 @@
     def test_crash_that_many_hosts_saw_is_passed_on_together(self) -> None:
         fleet = self.make_fleet(4, 10)
         for number, shares in enumerate(fleet):
-            shares.tell_crash(Crash(start(0), (BAD, Fingerprint(f"f-{number}"))))
+            shares.tell_crash(Crash(instance(0), (BAD, Fingerprint(f"f-{number}"))))
         self.settle()
         self.assertEqual({len(each.records.by_fingerprint) for each in fleet}, {41})
         self.assertLess(self.peers.sent, 40 * 10)
@@ -127,17 +127,17 @@
         self.store.followers = fleet
         self.peers.is_cut = True
         for number in range(3):
-            fleet[number].tell_crash(Crash(start(number), (BAD,)))
+            fleet[number].tell_crash(Crash(instance(number), (BAD,)))
         self.settle()
         self.assertEqual(self.refusing(fleet), 0)
-        fleet[0].tell_crash(Crash(start(3), (BAD,)))
+        fleet[0].tell_crash(Crash(instance(3), (BAD,)))
         self.settle()
         self.assertEqual(self.refusing(fleet), 3)
 
     def test_host_that_has_just_started_refuses_it_by_the_store_alone(self) -> None:
         fleet = self.make_fleet(1, 2)
         for number in range(3):
-            fleet[0].tell_crash(Crash(start(number), (BAD,)))
+            fleet[0].tell_crash(Crash(instance(number), (BAD,)))
         self.settle()
         (new, *_) = self.make_fleet(1, 1)
         self.store.read(new)
@@ -147,7 +147,7 @@
         fleet = self.make_fleet(1, 2)
         self.store.is_away = True
         for number in range(3):
-            fleet[0].tell_crash(Crash(start(number), (BAD,)))
+            fleet[0].tell_crash(Crash(instance(number), (BAD,)))
         self.settle()
         self.assertEqual(self.store.value_by_key, {})
         self.store.is_away = False
@@ -157,7 +157,7 @@
     def test_suspects_of_one_crash_cost_no_call(self) -> None:
         (only,) = self.make_fleet(1, 1)
         names = tuple(Fingerprint(f"f-{number}") for number in range(200))
-        only.tell_crash(Crash(start(0), names))
+        only.tell_crash(Crash(instance(0), names))
         self.settle()
         self.assertEqual(self.store.calls, 0)
 
@@ -165,7 +165,7 @@
         (only,) = self.make_fleet(1, 1)
         names = tuple(Fingerprint(f"f-{number}") for number in range(200))
         for number in range(3):
-            only.tell_crash(Crash(start(number), names))
+            only.tell_crash(Crash(instance(number), names))
         self.settle()
         self.assertEqual(len(self.store.value_by_key), 200)
         self.assertLessEqual(self.store.calls, 3)
@@ -175,7 +175,7 @@
         fleet = self.make_fleet(4, 10)
         self.store.followers = [each for each in fleet if each.hosts.is_reader()]
         for number in range(3):
-            fleet[number].tell_crash(Crash(start(number), (BAD,)))
+            fleet[number].tell_crash(Crash(instance(number), (BAD,)))
             self.settle()
         self.assertEqual(self.refusing(fleet), 40)
         self.assertLessEqual(self.store.calls, 5)
@@ -185,7 +185,7 @@
         self.store.followers = [each for each in fleet if each.hosts.is_reader()]
         (other, *_) = [each for each in fleet if not each.hosts.is_reader()]
         for number in range(3):
-            fleet[0].tell_crash(Crash(start(number), (BAD,)))
+            fleet[0].tell_crash(Crash(instance(number), (BAD,)))
         self.settle()
         self.assertEqual(list(self.store.value_by_key), [BAD])
         other.records.note_whole(BAD, clocks.unix_ms())
@@ -197,7 +197,7 @@
         fleet = self.make_fleet(1, 3)
         self.store.followers = fleet
         for number in range(3):
-            fleet[0].tell_crash(Crash(start(number), (BAD,)))
+            fleet[0].tell_crash(Crash(instance(number), (BAD,)))
         self.settle()
         self.assertTrue(fleet[2].records.note_whole(BAD, clocks.unix_ms()))
         fleet[2].tell_cleared(BAD)
@@ -209,7 +209,7 @@
         fleet = self.make_fleet(1, 2)
         fleet[1].records.note_whole(COMMON, clocks.unix_ms())
         for number in range(3):
-            fleet[0].tell_crash(Crash(start(number), (COMMON,)))
+            fleet[0].tell_crash(Crash(instance(number), (COMMON,)))
             self.settle()
         self.assertEqual(self.refusing(fleet, COMMON), 0)
 
