--- a/libs/serving/ruddersaddle_serving/crash_records.py
+++ b/libs/serving/ruddersaddle_serving/crash_records.py
@@ -30,11 +30,11 @@
 SHARED_MIN = 2
 """Crashes from which on a record is kept in the store. Most suspects are in one crash only; a
 request that hosts know of one by one gets there with its next crash."""
-VERDICT_MS = 600_000
+REFUSAL_MS = 600_000
 """How long a request is refused after its last crash, so that one that a new release can run gets
 its chance; with each further crash it is twice as long."""
-VERDICT_MAX_MS = 86_400_000
-WHOLE_TRUST_MS = 2000
+REFUSAL_MAX_MS = 86_400_000
+RECENT_COMPLETION_MS = 2000
 """A request that ended whole so shortly before a crash did not cause it. Longer would hide one that
 has only begun to crash upstreams from its first crashes."""
 SUSPECTS_MAX = 4096
@@ -61,7 +61,7 @@
     """When the last of them ended."""
 
     @property
-    def is_verdict(self) -> bool:
+    def is_refusal(self) -> bool:
         """Whether these are enough to refuse the request."""
         return len(self.instances) >= CRASHES_MAX
 
@@ -69,14 +69,14 @@
     def until_ms(self) -> int:
         """Until when the request is refused, or suspected."""
         doublings = max(0, len(self.instances) - CRASHES_MAX)
-        return self.last_ms + min(VERDICT_MAX_MS, VERDICT_MS << doublings)
+        return self.last_ms + min(REFUSAL_MAX_MS, REFUSAL_MS << doublings)
 
-    def is_over(self, now_ms: int) -> bool:
+    def is_expired(self, now_ms: int) -> bool:
         """Return whether nothing follows from it any more.
 
         A request that was refused is remembered as long again: its next crash refuses it at once.
         """
-        spare_ms = self.until_ms - self.last_ms if self.is_verdict else 0
+        spare_ms = self.until_ms - self.last_ms if self.is_refusal else 0
         return now_ms >= self.until_ms + spare_ms
 
     def with_instances(self, instances: Iterable[UpstreamStart], last_ms: int) -> "CrashRecord":
@@ -98,7 +98,7 @@
         """Grows with each change of what is shared; begins anywhere: two processes differ."""
         self.cleared = 0
         """Suspects that ended whole."""
-        self._whole_at: dict[Fingerprint, int] = {}
+        self._completed_at: dict[Fingerprint, int] = {}
         """Requests that ended whole a moment ago, the latest last."""
         self._cleared_at: dict[Fingerprint, int] = {}
         self._cause_by_instance: dict[UpstreamStart, Fingerprint] = {}
@@ -106,17 +106,17 @@
 
     # What was seen
 
-    def note_crash(self, crash: Crash, now_ms: int) -> list[CrashRecord]:
+    def record_crash(self, crash: Crash, now_ms: int) -> list[CrashRecord]:
         """Take a crash; return the records that it changed."""
         suspects = self._suspects(crash, now_ms)
         changed = [self._extend(each, (crash.instance,), now_ms) for each in suspects]
-        self._explain(changed)
+        self._attribute_crashes(changed)
         return changed
 
     def _suspects(self, crash: Crash, now_ms: int) -> list[Fingerprint]:
         """Return the requests that may have caused a crash."""
-        self._forget_whole(now_ms)
-        found = [each for each in crash.fingerprints if each not in self._whole_at]
+        self._forget_old_completions(now_ms)
+        found = [each for each in crash.fingerprints if each not in self._completed_at]
         causes = [each for each in found if self._is_refused(each)]
         if causes:
             return causes
@@ -129,28 +129,28 @@
         cleared_ms = self._cleared_at.get(fingerprint)
         is_stale = cleared_ms is not None and record.last_ms <= cleared_ms
         instances = record.instances
-        if not record.is_verdict:
+        if not record.is_refusal:
             cause_of = self._cause_by_instance.get
             instances = tuple(
                 each for each in instances if cause_of(each, fingerprint) == fingerprint
             )
-        if is_stale or not instances or record.is_over(now_ms):
+        if is_stale or not instances or record.is_expired(now_ms):
             return record
         merged = self._extend(fingerprint, instances, record.last_ms)
-        self._explain([merged])
+        self._attribute_crashes([merged])
         return merged
 
-    def note_whole(self, fingerprint: Fingerprint, now_ms: int) -> bool:
+    def record_completion(self, fingerprint: Fingerprint, now_ms: int) -> bool:
         """Take that a run of a request ended whole; return whether it was suspected."""
-        self._whole_at.pop(fingerprint, None)
-        self._whole_at[fingerprint] = now_ms
-        self._forget_whole(now_ms)
+        self._completed_at.pop(fingerprint, None)
+        self._completed_at[fingerprint] = now_ms
+        self._forget_old_completions(now_ms)
         return self.clear(fingerprint, now_ms)
 
-    def was_whole(self, fingerprint: Fingerprint, now_ms: int) -> bool:
+    def completed_recently(self, fingerprint: Fingerprint, now_ms: int) -> bool:
         """Return whether a run of a request ended whole here a moment ago."""
-        self._forget_whole(now_ms)
-        return fingerprint in self._whole_at
+        self._forget_old_completions(now_ms)
+        return fingerprint in self._completed_at
 
     def clear(self, fingerprint: Fingerprint, now_ms: int) -> bool:
         """Drop what is held against a request; return whether there was something."""
@@ -160,16 +160,16 @@
         self._drop(record)
         self.cleared += 1
         self._cleared_at[fingerprint] = now_ms
-        if record.is_verdict:
+        if record.is_refusal:
             logger.info("Request %s is taken again: a run of it ended whole.", fingerprint)
         return True
 
     # What follows from it
 
-    def find_verdict(self, fingerprint: Fingerprint, now_ms: int) -> CrashRecord | None:
+    def find_refusal(self, fingerprint: Fingerprint, now_ms: int) -> CrashRecord | None:
         """Return the record for which a request is refused now, or None."""
         record = self.by_fingerprint.get(fingerprint)
-        if record is None or not record.is_verdict or now_ms >= record.until_ms:
+        if record is None or not record.is_refusal or now_ms >= record.until_ms:
             return None
         return record
 
@@ -189,7 +189,7 @@
 
     def sweep(self, now_ms: int) -> None:
         """Drop what is over."""
-        for record in [each for each in self.by_fingerprint.values() if each.is_over(now_ms)]:
+        for record in [each for each in self.by_fingerprint.values() if each.is_expired(now_ms)]:
             self._drop(record)
         self._cleared_at = {
             each: at for each, at in self._cleared_at.items() if now_ms - at < CLEARED_MS
@@ -197,7 +197,7 @@
 
     def _is_refused(self, fingerprint: Fingerprint) -> bool:
         record = self.by_fingerprint.get(fingerprint)
-        return record is not None and record.is_verdict
+        return record is not None and record.is_refusal
 
     def _extend(
         self, fingerprint: Fingerprint, instances: Iterable[UpstreamStart], last_ms: int
@@ -211,17 +211,17 @@
         self._cleared_at.pop(fingerprint, None)
         if record.instances != known.instances and len(record.instances) >= SHARED_MIN:
             self.revision += 1
-        if record.is_verdict and not known.is_verdict:
+        if record.is_refusal and not known.is_refusal:
             names = ", ".join(map(str, record.instances))
             logger.warning("Request %s is refused: under it ended %s.", fingerprint, names)
         return record
 
-    def _explain(self, records: Iterable[CrashRecord]) -> None:
+    def _attribute_crashes(self, records: Iterable[CrashRecord]) -> None:
         """Hold crashes under refused requests against nobody else."""
-        verdicts = [each for each in records if each.is_verdict]
+        refusals = [each for each in records if each.is_refusal]
         new = {
             instance: each.fingerprint
-            for each in verdicts
+            for each in refusals
             for instance in each.instances
             if instance not in self._cause_by_instance
         }
@@ -230,7 +230,7 @@
         self._cause_by_instance.update(new)
         for record in list(self.by_fingerprint.values()):
             left = tuple(instance for instance in record.instances if instance not in new)
-            if record.is_verdict or left == record.instances:
+            if record.is_refusal or left == record.instances:
                 continue
             if left:
                 self.by_fingerprint[record.fingerprint] = msgspec.structs.replace(
@@ -255,10 +255,10 @@
             if self._cause_by_instance.get(instance) == record.fingerprint:
                 del self._cause_by_instance[instance]
 
-    def _forget_whole(self, now_ms: int) -> None:
+    def _forget_old_completions(self, now_ms: int) -> None:
         """Forget whole runs that are too long ago; the oldest come first."""
-        while self._whole_at:
-            fingerprint, at_ms = next(iter(self._whole_at.items()))
-            if now_ms - at_ms < WHOLE_TRUST_MS:
+        while self._completed_at:
+            fingerprint, at_ms = next(iter(self._completed_at.items()))
+            if now_ms - at_ms < RECENT_COMPLETION_MS:
                 return
-            del self._whole_at[fingerprint]
+            del self._completed_at[fingerprint]
--- a/libs/serving/ruddersaddle_serving/crash_shares.py
+++ b/libs/serving/ruddersaddle_serving/crash_shares.py
@@ -174,7 +174,9 @@
         now_ms = clocks.unix_ms()
         for crash in news.crashes:
             self._note(crash, LATER_S)
-            whole = [each for each in crash.fingerprints if self.records.was_whole(each, now_ms)]
+            whole = [
+                each for each in crash.fingerprints if self.records.completed_recently(each, now_ms)
+            ]
             for fingerprint in whole:
                 self.tell_cleared(fingerprint)
         self.take_cleared(news.cleared)
@@ -183,7 +185,7 @@
             self._tell_soon(next_hop, news.crashes, news.cleared)
 
     def _note(self, crash: Crash, delay_s: float) -> None:
-        for record in self.records.note_crash(crash, clocks.unix_ms()):
+        for record in self.records.record_crash(crash, clocks.unix_ms()):
             if len(record.instances) >= SHARED_MIN and self._may_write(record.fingerprint):
                 self._write_soon(record.fingerprint, delay_s)
 
@@ -265,7 +267,7 @@
         if known is None or len(known.instances) < SHARED_MIN:
             return stored is not None
         if stored is None:
-            return known.is_verdict or len(self._stored) < OUT_MAX
+            return known.is_refusal or len(self._stored) < OUT_MAX
         return not set(known.instances) <= set(stored.instances)
 
     def _write(self) -> None:
@@ -304,7 +306,7 @@
             eventlet.sleep(SWEEP_S)
             now_ms = clocks.unix_ms()
             self.records.sweep(now_ms)
-            over = [key for key, record in self._stored.items() if record.is_over(now_ms)]
+            over = [key for key, record in self._stored.items() if record.is_expired(now_ms)]
             for fingerprint in over:
                 if self.hosts.is_reader():
                     self._write_soon(fingerprint, 0.0)
--- a/libs/serving/ruddersaddle_serving/crash_watches.py
+++ b/libs/serving/ruddersaddle_serving/crash_watches.py
@@ -64,7 +64,7 @@
         Each further send costs one more upstream with all its runs: 16 ended under one request.
         """
         now_ms = clocks.unix_ms()
-        record = self.records.find_verdict(fingerprint, now_ms)
+        record = self.records.find_refusal(fingerprint, now_ms)
         if record is None:
             return None
         self.counts["refused"] += 1
@@ -90,9 +90,9 @@
 
     # What is seen
 
-    def note_whole(self, fingerprint: Fingerprint) -> None:
+    def record_completion(self, fingerprint: Fingerprint) -> None:
         """Take that a run ended whole, which clears its request."""
-        if self.records.note_whole(fingerprint, clocks.unix_ms()):
+        if self.records.record_completion(fingerprint, clocks.unix_ms()):
             self.tell_cleared(fingerprint)
 
     def note_broken(self, tracker: Tracker, fingerprint: Fingerprint) -> None:
--- a/libs/serving/ruddersaddle_serving/forwarders.py
+++ b/libs/serving/ruddersaddle_serving/forwarders.py
@@ -246,7 +246,7 @@
             return body
         failed = head.status >= 500
         if head.status < 300:
-            self.forwarder.crashes.note_whole(self.request.fingerprint)
+            self.forwarder.crashes.record_completion(self.request.fingerprint)
         self._end_attempt(failed, f"{upstream} status {head.status}")
         if failed and self._may_repeat():
             again = self._try_again_after_error()
@@ -300,7 +300,7 @@
                 continue
             if not data:
                 rest = self.splitter.take_rest()
-                self.forwarder.crashes.note_whole(self.request.fingerprint)
+                self.forwarder.crashes.record_completion(self.request.fingerprint)
                 self._end_attempt(False, "whole")
                 if rest:
                     yield rest
--- a/libs/serving/ruddersaddle_serving/tests/test_crash_records.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_crash_records.py
@@ -7,9 +7,9 @@
 from ruddersaddle_serving.crash_records import (
     CRASHES_MAX,
     INSTANCES_MAX,
+    RECENT_COMPLETION_MS,
+    REFUSAL_MS,
     SUSPECTS_MAX,
-    VERDICT_MS,
-    WHOLE_TRUST_MS,
     Crash,
     CrashRecord,
     CrashRecords,
@@ -32,10 +32,10 @@
 
     def crash(self, number: int, *fingerprints: Fingerprint) -> None:
         self.now_ms += 100
-        self.records.note_crash(Crash(instance(number), fingerprints), self.now_ms)
+        self.records.record_crash(Crash(instance(number), fingerprints), self.now_ms)
 
     def is_refused(self, fingerprint: Fingerprint) -> bool:
-        return self.records.find_verdict(fingerprint, self.now_ms) is not None
+        return self.records.find_refusal(fingerprint, self.now_ms) is not None
 
     def refuse(self, fingerprint: Fingerprint, first: int = 0) -> None:
         for number in range(CRASHES_MAX):
@@ -56,35 +56,35 @@
     def test_later_start_under_the_same_id_counts_by_itself(self) -> None:
         for born_ms in range(CRASHES_MAX):
             crash = Crash(UpstreamStart(UpstreamId("e"), born_ms), (BAD,))
-            self.records.note_crash(crash, self.now_ms)
+            self.records.record_crash(crash, self.now_ms)
         self.assertTrue(self.is_refused(BAD))
 
     def test_bystander_that_ends_whole_is_cleared(self) -> None:
         """Of eight prompts in three crashes or more of one day, seven ended whole."""
         self.crash(0, BAD, OTHER)
         self.crash(1, BAD, OTHER)
-        self.assertTrue(self.records.note_whole(OTHER, self.now_ms))
+        self.assertTrue(self.records.record_completion(OTHER, self.now_ms))
         self.crash(2, BAD, OTHER)
         self.assertTrue(self.is_refused(BAD))
         self.assertFalse(self.is_refused(OTHER))
 
     def test_request_that_everybody_sends_is_in_each_crash_and_no_suspect(self) -> None:
         for number in range(CRASHES_MAX):
-            self.records.note_whole(COMMON, self.now_ms)
+            self.records.record_completion(COMMON, self.now_ms)
             self.crash(number, COMMON, BAD)
         self.assertFalse(self.is_refused(COMMON))
         self.assertTrue(self.is_refused(BAD))
 
     def test_three_crashes_within_a_second_of_its_whole_run_refuse_no_common_request(self) -> None:
-        self.records.note_whole(COMMON, self.now_ms)
+        self.records.record_completion(COMMON, self.now_ms)
         for number in range(CRASHES_MAX):
             self.crash(number, COMMON, BAD)
         self.assertFalse(self.is_refused(COMMON))
         self.assertTrue(self.is_refused(BAD))
 
     def test_request_that_begins_to_crash_upstreams_is_found_all_the_same(self) -> None:
-        self.records.note_whole(BAD, self.now_ms)
-        self.now_ms += WHOLE_TRUST_MS
+        self.records.record_completion(BAD, self.now_ms)
+        self.now_ms += RECENT_COMPLETION_MS
         self.refuse(BAD)
         self.assertTrue(self.is_refused(BAD))
 
@@ -116,30 +116,30 @@
 
     def test_refusal_lasts_twice_as_long_with_each_further_crash(self) -> None:
         self.refuse(BAD)
-        self.now_ms += VERDICT_MS
+        self.now_ms += REFUSAL_MS
         self.assertFalse(self.is_refused(BAD))
         self.crash(3, BAD)
-        self.now_ms += VERDICT_MS
+        self.now_ms += REFUSAL_MS
         self.assertTrue(self.is_refused(BAD))
-        self.now_ms += VERDICT_MS
+        self.now_ms += REFUSAL_MS
         self.assertFalse(self.is_refused(BAD))
 
     def test_request_that_a_new_release_runs_is_taken_again(self) -> None:
         self.refuse(BAD)
-        self.now_ms += VERDICT_MS
-        self.records.note_whole(BAD, self.now_ms)
-        self.now_ms += WHOLE_TRUST_MS
+        self.now_ms += REFUSAL_MS
+        self.records.record_completion(BAD, self.now_ms)
+        self.now_ms += RECENT_COMPLETION_MS
         self.crash(3, BAD)
         self.assertFalse(self.is_refused(BAD))
 
     def test_old_records_are_forgotten(self) -> None:
         self.refuse(BAD)
         self.crash(3, OTHER)
-        self.now_ms += VERDICT_MS
+        self.now_ms += REFUSAL_MS
         self.records.sweep(self.now_ms)
         self.assertEqual(self.records.count(OTHER), 0)
         self.assertEqual(self.records.count(BAD), CRASHES_MAX)
-        self.now_ms += VERDICT_MS
+        self.now_ms += REFUSAL_MS
         self.records.sweep(self.now_ms)
         self.assertEqual(self.records.by_fingerprint, {})
         self.assertEqual(self.records._cause_by_instance, {})
--- a/libs/serving/ruddersaddle_serving/tests/test_crash_shares.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_crash_shares.py
@@ -95,7 +95,7 @@
 
     def refusing(self, fleet: list[CrashShares], fingerprint: Fingerprint = BAD) -> int:
         now_ms = clocks.unix_ms()
-        found = [each.records.find_verdict(fingerprint, now_ms) for each in fleet]
+        found = [each.records.find_refusal(fingerprint, now_ms) for each in fleet]
         return sum(each is not None for each in found)
 
     def test_crashes_seen_by_three_hosts_are_put_together(self) -> None:
@@ -188,7 +188,7 @@
             fleet[0].tell_crash(Crash(instance(number), (BAD,)))
         self.settle()
         self.assertEqual(list(self.store.value_by_key), [BAD])
-        other.records.note_whole(BAD, clocks.unix_ms())
+        other.records.record_completion(BAD, clocks.unix_ms())
         other.tell_cleared(BAD)
         self.settle()
         self.assertEqual(self.store.value_by_key, {})
@@ -199,7 +199,7 @@
         for number in range(3):
             fleet[0].tell_crash(Crash(instance(number), (BAD,)))
         self.settle()
-        self.assertTrue(fleet[2].records.note_whole(BAD, clocks.unix_ms()))
+        self.assertTrue(fleet[2].records.record_completion(BAD, clocks.unix_ms()))
         fleet[2].tell_cleared(BAD)
         self.settle()
         self.assertEqual(self.refusing(fleet), 0)
@@ -207,7 +207,7 @@
 
     def test_host_where_it_ended_whole_clears_a_common_request_that_another_suspects(self) -> None:
         fleet = self.make_fleet(1, 2)
-        fleet[1].records.note_whole(COMMON, clocks.unix_ms())
+        fleet[1].records.record_completion(COMMON, clocks.unix_ms())
         for number in range(3):
             fleet[0].tell_crash(Crash(instance(number), (COMMON,)))
             self.settle()
--- a/libs/serving/ruddersaddle_serving/tests/test_crash_watches.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_crash_watches.py
@@ -37,7 +37,7 @@
 
     def take(self, crash: Crash) -> None:
         self.crashes.append(crash)
-        self.records.note_crash(crash, clocks.unix_ms())
+        self.records.record_crash(crash, clocks.unix_ms())
 
     def make_tracker(self, number: int = 0, leaving: bool = False) -> Tracker:
         name = UpstreamId(f"e-{number}")
@@ -119,8 +119,8 @@
 
     def test_whole_run_clears_a_suspect_and_tells_it(self) -> None:
         self.seen(Presence.DOWN)
-        self.watch.note_whole(BAD)
-        self.watch.note_whole(OTHER)
+        self.watch.record_completion(BAD)
+        self.watch.record_completion(OTHER)
         self.assertEqual(self.cleared, [BAD])
         self.assertEqual(self.records.count(BAD), 0)
 
