--- a/libs/serving/ruddersaddle_serving/crash_watches.py
+++ b/libs/serving/ruddersaddle_serving/crash_watches.py
@@ -21,7 +21,7 @@
 
 logger = logging.getLogger(__name__)
 
-LOOK_PAUSES_S = (0.0, 0.1, 0.3, 0.6, 1.0, 2.0)
+PROBE_PAUSES_S = (0.0, 0.1, 0.3, 0.6, 1.0, 2.0)
 """Pauses before the looks at an address, 4 s in all: a instance that has ended keeps its entry for
 three heartbeats (3.6 s)."""
 DOWN_MIN = 2
@@ -29,9 +29,9 @@
 any further one; some 0.1 s later there is room."""
 FINGERPRINTS_MAX = 256
 """Broken runs that are remembered for one instance; an upstream runs 128 at once."""
-SETTLE_S = 0.5
+OUTCOME_WAIT_S = 0.5
 """Longest wait for the outcome of a look; two looks that find nobody take 0.1 s."""
-SETTLE_STEP_S = 0.01
+OUTCOME_POLL_S = 0.01
 MS_PER_S = 1000
 
 
@@ -43,14 +43,14 @@
         engines: Engines,
         upstreams: UpstreamList,
         records: CrashRecords,
-        tell_crash: Callable[[Crash], None],
-        tell_cleared: Callable[[Fingerprint], None],
+        notify_crash: Callable[[Crash], None],
+        notify_cleared: Callable[[Fingerprint], None],
     ) -> None:
         self.engines = engines
         self.upstreams = upstreams
         self.records = records
-        self.tell_crash = tell_crash
-        self.tell_cleared = tell_cleared
+        self.notify_crash = notify_crash
+        self.notify_cleared = notify_cleared
         self.counts = {"crash": 0, "reset": 0, "refused": 0}
         """Upstreams that ended under runs of this host, upstreams that lived on after a run had
         broken off, and requests that were refused for the crashes they caused."""
@@ -76,26 +76,26 @@
         left_s = (record.until_ms - now_ms) / MS_PER_S
         return Failure(Code.CRASHES_UPSTREAMS, Step.ADMIT, pool, detail, retry_after_s=left_s)
 
-    def settle(self, fingerprint: Fingerprint) -> None:
+    def wait_for_outcome(self, fingerprint: Fingerprint) -> None:
         """Wait until it is known whether a broken run was the crash that refuses its request.
 
         Upstreams are looked at for some 0.1 s; a second try in that time ended a fourth upstream.
         """
-        until = clocks.now_s() + SETTLE_S
-        while self._may_decide(fingerprint) and clocks.now_s() < until:
-            eventlet.sleep(SETTLE_STEP_S)
+        until = clocks.now_s() + OUTCOME_WAIT_S
+        while self._may_refuse(fingerprint) and clocks.now_s() < until:
+            eventlet.sleep(OUTCOME_POLL_S)
 
-    def _may_decide(self, fingerprint: Fingerprint) -> bool:
-        return self.records.count(fingerprint) >= CRASHES_MAX - 1 and self.is_open(fingerprint)
+    def _may_refuse(self, fingerprint: Fingerprint) -> bool:
+        return self.records.count(fingerprint) >= CRASHES_MAX - 1 and self.is_pending(fingerprint)
 
     # What is seen
 
     def record_completion(self, fingerprint: Fingerprint) -> None:
         """Take that a run ended whole, which clears its request."""
         if self.records.record_completion(fingerprint, clocks.unix_ms()):
-            self.tell_cleared(fingerprint)
+            self.notify_cleared(fingerprint)
 
-    def note_broken(self, tracker: Tracker, fingerprint: Fingerprint) -> None:
+    def record_broken_run(self, tracker: Tracker, fingerprint: Fingerprint) -> None:
         """Take that a run broke off, and look what became of its upstream."""
         entry = tracker.entry
         listed = self.upstreams.by_id.get(entry.id)
@@ -107,29 +107,29 @@
         if len(broken) < FINGERPRINTS_MAX:
             broken[fingerprint] = None
         if not is_watched:
-            eventlet.spawn(self._look, tracker, entry.start)
+            eventlet.spawn(self._check_instance, tracker, entry.start)
 
-    def is_open(self, fingerprint: Fingerprint) -> bool:
+    def is_pending(self, fingerprint: Fingerprint) -> bool:
         """Return whether it isn't known yet if a run of this request ended its upstream."""
         return any(fingerprint in broken for broken in self._broken_by_instance.values())
 
-    def _look(self, tracker: Tracker, instance: UpstreamStart) -> None:
+    def _check_instance(self, tracker: Tracker, instance: UpstreamStart) -> None:
         try:
-            has_ended = self._has_ended(tracker, instance)
+            has_crashed = self._has_crashed(tracker, instance)
         finally:
             broken = tuple(self._broken_by_instance.pop(instance))
-        if not has_ended:
+        if not has_crashed:
             self.counts["reset"] += 1
             logger.info("Upstream %s lives; %d runs there broke off.", instance, len(broken))
             return
         self.counts["crash"] += 1
         fields = {"fingerprints": broken}
         logger.warning("Upstream %s ended under %d runs.", instance, len(broken), extra=fields)
-        self.tell_crash(Crash(instance, broken))
+        self.notify_crash(Crash(instance, broken))
 
-    def _has_ended(self, tracker: Tracker, instance: UpstreamStart) -> bool:
+    def _has_crashed(self, tracker: Tracker, instance: UpstreamStart) -> bool:
         down = 0
-        for pause_s in LOOK_PAUSES_S:
+        for pause_s in PROBE_PAUSES_S:
             eventlet.sleep(pause_s)
             if tracker.is_replaced or tracker.entry.start != instance:
                 return True
--- a/libs/serving/ruddersaddle_serving/forwarders.py
+++ b/libs/serving/ruddersaddle_serving/forwarders.py
@@ -196,7 +196,7 @@
 
     def _choose(self) -> Choice | Failure:
         """Return the upstream for the next try."""
-        self.forwarder.crashes.settle(self.request.fingerprint)
+        self.forwarder.crashes.wait_for_outcome(self.request.fingerprint)
         refusal = self._check_crashes()
         if refusal is not None:
             return refusal
@@ -343,7 +343,7 @@
     def _end_attempt(self, failed: bool | None, word: str) -> None:
         self.trail.tries.append(word)
         if self.attempt.is_broken:
-            self.forwarder.crashes.note_broken(
+            self.forwarder.crashes.record_broken_run(
                 self.attempt.choice.tracker, self.request.fingerprint
             )
         self.attempt.finish(failed)
--- a/libs/serving/ruddersaddle_serving/tests/test_crash_watches.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_crash_watches.py
@@ -23,7 +23,7 @@
 
 class CrashWatchTest(unittest.TestCase):
     def setUp(self) -> None:
-        patch = mock.patch.object(crash_watches, "LOOK_PAUSES_S", (0.0, 0.01, 0.02, 0.02))
+        patch = mock.patch.object(crash_watches, "PROBE_PAUSES_S", (0.0, 0.01, 0.02, 0.02))
         patch.start()
         self.addCleanup(patch.stop)
         self.records = CrashRecords()
@@ -49,7 +49,7 @@
     def seen(self, *presences: Presence, tracker: Tracker | None = None) -> int:
         """Return how many crashes are told after a broken run and these looks."""
         self.engines.presence.side_effect = [*presences, *[presences[-1]] * 9]
-        self.watch.note_broken(tracker or self.make_tracker(), BAD)
+        self.watch.record_broken_run(tracker or self.make_tracker(), BAD)
         eventlet.sleep(0.1)
         return len(self.crashes)
 
@@ -81,8 +81,8 @@
     def test_one_look_serves_all_runs_that_broke_off(self) -> None:
         tracker = self.make_tracker()
         self.engines.presence.return_value = Presence.DOWN
-        self.watch.note_broken(tracker, BAD)
-        self.watch.note_broken(tracker, OTHER)
+        self.watch.record_broken_run(tracker, BAD)
+        self.watch.record_broken_run(tracker, OTHER)
         eventlet.sleep(0.1)
         (crash,) = self.crashes
         self.assertEqual(set(crash.fingerprints), {BAD, OTHER})
@@ -92,7 +92,7 @@
         self.engines.presence.return_value = Presence.DOWN
         for number in range(CRASHES_MAX):
             self.assertIsNone(self.watch.check(BAD, POOL))
-            self.watch.note_broken(self.make_tracker(number), BAD)
+            self.watch.record_broken_run(self.make_tracker(number), BAD)
             eventlet.sleep(0.1)
         failure = self.watch.check(BAD, POOL)
         self.assertEqual(failure.code, Code.CRASHES_UPSTREAMS)
@@ -104,18 +104,18 @@
         """Sent at once it ended a fourth upstream."""
         self.engines.presence.return_value = Presence.DOWN
         for number in range(CRASHES_MAX):
-            self.watch.note_broken(self.make_tracker(number), BAD)
-            self.watch.settle(BAD)
+            self.watch.record_broken_run(self.make_tracker(number), BAD)
+            self.watch.wait_for_outcome(BAD)
             if number < CRASHES_MAX - 1:
                 eventlet.sleep(0.1)
         self.assertIsNotNone(self.watch.check(BAD, POOL))
 
     def test_first_retry_after_a_crash_waits_for_nothing(self) -> None:
         self.engines.presence.return_value = Presence.DOWN
-        self.watch.note_broken(self.make_tracker(), BAD)
+        self.watch.record_broken_run(self.make_tracker(), BAD)
         began = clocks.now_s()
-        self.watch.settle(BAD)
-        self.assertLess(clocks.now_s() - began, crash_watches.SETTLE_STEP_S)
+        self.watch.wait_for_outcome(BAD)
+        self.assertLess(clocks.now_s() - began, crash_watches.OUTCOME_POLL_S)
 
     def test_whole_run_clears_a_suspect_and_tells_it(self) -> None:
         self.seen(Presence.DOWN)
