--- a/libs/serving/ruddersaddle_serving/crash_shares.py
+++ b/libs/serving/ruddersaddle_serving/crash_shares.py
@@ -32,19 +32,19 @@
 
 logger = logging.getLogger(__name__)
 
-TELL_S = 0.01
+SEND_DELAY_S = 0.01
 """Pause between messages about crashes: one crash ends runs of many requests at a time."""
 WRITE_PAUSE_S = 0.2
 """Least pause between writes of one host. What has to be written meanwhile goes in one call."""
 WRITES_PER_S = 100.0
 """Writes of all hosts together, a quarter of what the store takes (400 a second)."""
-LATER_S = 1.0
+BACKUP_WRITE_DELAY_S = 1.0
 """A host that did not see the last crash itself writes after this time, if the one that did has
 not written yet; readers read a write within some milliseconds."""
 SWEEP_S = 5.0
 """Pause between looks for records that are over."""
-OUT_MAX = 512
-"""Records that are told in one message or kept in the store; 114 to 145 bytes each."""
+CRASH_RECORDS_MAX = 512
+"""Records that are received in one message or kept in the store; 114 to 145 bytes each."""
 
 
 class Hop(Enum):
@@ -58,7 +58,7 @@
     """From another reader, to its hall."""
 
 
-class CrashNews(msgspec.Struct, frozen=True, tag="crash_news"):
+class CrashUpdate(msgspec.Struct, frozen=True, tag="crash_news"):
     """Tells crashes that were seen, and suspects that ended whole; it is not answered."""
 
     address: str
@@ -67,8 +67,8 @@
     hop: Hop = Hop.FIRST
 
 
-class Unsent:
-    """What waits to be told."""
+class PendingUpdate:
+    """What waits to be received."""
 
     def __init__(self) -> None:
         self.fingerprints_by_instance: dict[UpstreamStart, dict[Fingerprint, None]] = {}
@@ -88,10 +88,10 @@
         self.confirmed_at = float("-inf")
         """When the store, or a host that follows it, was asked for what was taken last."""
         self.writes = 0
-        self._unsent_by_hop: dict[Hop, Unsent] = {}
+        self._pending_by_hop: dict[Hop, PendingUpdate] = {}
         self._stored: dict[Fingerprint, CrashRecord] = {}
         """What the store has, as far as this host knows."""
-        self._seen_here: dict[Fingerprint, None] = {}
+        self._seen_locally: dict[Fingerprint, None] = {}
         """Requests of which this host itself saw a crash, the oldest first."""
         self._unwritten: set[Fingerprint] = set()
         self._is_writing = False
@@ -107,24 +107,24 @@
 
     # Between hosts
 
-    def tell_crash(self, crash: Crash) -> None:
+    def broadcast_crash(self, crash: Crash) -> None:
         """Take a crash that this host has seen, and tell it."""
-        self._seen_here.update(dict.fromkeys(crash.fingerprints))
-        while len(self._seen_here) > SUSPECTS_MAX:
-            del self._seen_here[next(iter(self._seen_here))]
-        self._note(crash, 0.0)
-        self._tell_soon(self._first_hop, (crash,), ())
+        self._seen_locally.update(dict.fromkeys(crash.fingerprints))
+        while len(self._seen_locally) > SUSPECTS_MAX:
+            del self._seen_locally[next(iter(self._seen_locally))]
+        self._record_crash(crash, 0.0)
+        self._send_soon(self._first_hop, (crash,), ())
 
-    def tell_cleared(self, fingerprint: Fingerprint) -> None:
+    def broadcast_cleared(self, fingerprint: Fingerprint) -> None:
         """Tell that a suspect ended whole; the records have it already."""
-        self._tell_soon(self._first_hop, (), (fingerprint,))
+        self._send_soon(self._first_hop, (), (fingerprint,))
         self._write_soon(fingerprint, 0.0)
 
     @property
     def _first_hop(self) -> Hop:
-        return Hop.TO_READERS if self._is_reader_of_many else Hop.FIRST
+        return Hop.TO_READERS if self._relays_for_hall else Hop.FIRST
 
-    def _tell_soon(
+    def _send_soon(
         self, hop: Hop, crashes: Iterable[Crash], cleared: Iterable[Fingerprint]
     ) -> None:
         """Send a message after a pause, with all that comes until then.
@@ -132,26 +132,26 @@
         Hundreds of hosts may lose runs at one upstream. A reader that passed on each one's word by
         itself would make 37,800 messages of one crash with 195 hosts in five halls; these are 990.
         """
-        unsent = self._unsent_by_hop.get(hop)
-        if unsent is None:
-            unsent = self._unsent_by_hop[hop] = Unsent()
-            eventlet.spawn_after(TELL_S, self._tell, hop)
+        pending = self._pending_by_hop.get(hop)
+        if pending is None:
+            pending = self._pending_by_hop[hop] = PendingUpdate()
+            eventlet.spawn_after(SEND_DELAY_S, self._send, hop)
         for crash in crashes:
-            found = unsent.fingerprints_by_instance.setdefault(crash.instance, {})
+            found = pending.fingerprints_by_instance.setdefault(crash.instance, {})
             found.update(dict.fromkeys(crash.fingerprints))
-        unsent.cleared.update(dict.fromkeys(cleared))
+        pending.cleared.update(dict.fromkeys(cleared))
 
-    def _tell(self, hop: Hop) -> None:
-        unsent = self._unsent_by_hop.pop(hop)
+    def _send(self, hop: Hop) -> None:
+        pending = self._pending_by_hop.pop(hop)
         crashes = tuple(
             Crash(instance, tuple(found))
-            for instance, found in unsent.fingerprints_by_instance.items()
+            for instance, found in pending.fingerprints_by_instance.items()
         )
-        news = CrashNews(self.hosts.own.address, crashes, tuple(unsent.cleared), hop)
-        self.peers.tell_all(self._targets(hop), news)
+        update = CrashUpdate(self.hosts.own.address, crashes, tuple(pending.cleared), hop)
+        self.peers.tell_all(self._targets(hop), update)
 
     @property
-    def _is_reader_of_many(self) -> bool:
+    def _relays_for_hall(self) -> bool:
         """Whether this host passes on what the hosts of its hall tell."""
         hosts = self.hosts
         return hosts.count > DIRECT_HOSTS_MAX and hosts.hall_reader() == hosts.own.address
@@ -169,22 +169,22 @@
             case Hop.TO_HALL:
                 return hosts.hall_addresses()
 
-    def take(self, news: CrashNews) -> None:
+    def apply_update(self, update: CrashUpdate) -> None:
         """Take what another host tells, and pass it on where that is this host's to do."""
         now_ms = clocks.unix_ms()
-        for crash in news.crashes:
-            self._note(crash, LATER_S)
+        for crash in update.crashes:
+            self._record_crash(crash, BACKUP_WRITE_DELAY_S)
             whole = [
                 each for each in crash.fingerprints if self.records.completed_recently(each, now_ms)
             ]
             for fingerprint in whole:
-                self.tell_cleared(fingerprint)
-        self.take_cleared(news.cleared)
-        if self._is_reader_of_many and news.hop is not Hop.TO_HALL:
-            next_hop = Hop.TO_READERS if news.hop is Hop.FIRST else Hop.TO_HALL
-            self._tell_soon(next_hop, news.crashes, news.cleared)
+                self.broadcast_cleared(fingerprint)
+        self.apply_cleared(update.cleared)
+        if self._relays_for_hall and update.hop is not Hop.TO_HALL:
+            next_hop = Hop.TO_READERS if update.hop is Hop.FIRST else Hop.TO_HALL
+            self._send_soon(next_hop, update.crashes, update.cleared)
 
-    def _note(self, crash: Crash, delay_s: float) -> None:
+    def _record_crash(self, crash: Crash, delay_s: float) -> None:
         for record in self.records.record_crash(crash, clocks.unix_ms()):
             if len(record.instances) >= SHARED_MIN and self._may_write(record.fingerprint):
                 self._write_soon(record.fingerprint, delay_s)
@@ -195,7 +195,7 @@
         One that has only heard of it, and doesn't follow the store, can't know what is written: of
         40 hosts 37 wrote what one had.
         """
-        return fingerprint in self._seen_here or self.hosts.is_reader()
+        return fingerprint in self._seen_locally or self.hosts.is_reader()
 
     # With the store
 
@@ -203,7 +203,7 @@
         """Note that the records are as new as a question sent at `asked_at`."""
         self.confirmed_at = max(self.confirmed_at, asked_at)
 
-    def note_return(self) -> None:
+    def handle_store_restore(self) -> None:
         """Take that the store has come back from an earlier copy: what it has is not known."""
         self._stored.clear()
 
@@ -211,12 +211,12 @@
         """Write what a store that was read whole lacks: one reader, the next one if it doesn't."""
         if not self.hosts.is_reader():
             return
-        delay_s = LATER_S * self.hosts.reader_rank()
+        delay_s = BACKUP_WRITE_DELAY_S * self.hosts.reader_rank()
         for record in self.records.shared():
-            if self._lacks(record.fingerprint):
+            if self._store_lacks(record.fingerprint):
                 self._write_soon(record.fingerprint, delay_s)
 
-    def take_record(self, record: Record) -> None:
+    def apply_record(self, record: Record) -> None:
         """Take one record of the store."""
         fingerprint = Fingerprint(record.key)
         if not record.value:
@@ -229,17 +229,17 @@
             logger.error("Crash record %s is unreadable. %s", record.key, detail)
             return
         self._stored[fingerprint] = decoded
-        self.take_records((decoded,))
+        self.apply_records((decoded,))
 
-    def take_records(self, records: tuple[CrashRecord, ...]) -> None:
+    def apply_records(self, records: tuple[CrashRecord, ...]) -> None:
         """Take what others know, and write what the store lacks of it."""
-        for told in records:
-            merged = self.records.merge(told, clocks.unix_ms())
-            is_more = merged.instances != told.instances and len(merged.instances) >= SHARED_MIN
+        for received in records:
+            merged = self.records.merge(received, clocks.unix_ms())
+            is_more = merged.instances != received.instances and len(merged.instances) >= SHARED_MIN
             if is_more and self._may_write(merged.fingerprint):
-                self._write_soon(merged.fingerprint, LATER_S)
+                self._write_soon(merged.fingerprint, BACKUP_WRITE_DELAY_S)
 
-    def take_cleared(self, cleared: tuple[Fingerprint, ...]) -> None:
+    def apply_cleared(self, cleared: tuple[Fingerprint, ...]) -> None:
         """Take which requests were cleared a short while ago; readers clear the store's records.
 
         The host that saw it may not know that there is one.
@@ -253,29 +253,29 @@
         eventlet.spawn_after(delay_s, self._add_unwritten, fingerprint)
 
     def _add_unwritten(self, fingerprint: Fingerprint) -> None:
-        if not self._lacks(fingerprint):
+        if not self._store_lacks(fingerprint):
             return
         self._unwritten.add(fingerprint)
         if not self._is_writing:
             self._is_writing = True
             eventlet.spawn(self._write)
 
-    def _lacks(self, fingerprint: Fingerprint) -> bool:
+    def _store_lacks(self, fingerprint: Fingerprint) -> bool:
         """Return whether the store should have something else of a request."""
         stored = self._stored.get(fingerprint)
         known = self.records.by_fingerprint.get(fingerprint)
         if known is None or len(known.instances) < SHARED_MIN:
             return stored is not None
         if stored is None:
-            return known.is_refusal or len(self._stored) < OUT_MAX
+            return known.is_refusal or len(self._stored) < CRASH_RECORDS_MAX
         return not set(known.instances) <= set(stored.instances)
 
     def _write(self) -> None:
         """Write until the store has what it lacked; a store that is away is tried again."""
         try:
             while self._unwritten:
-                self._unwritten = {each for each in self._unwritten if self._lacks(each)}
-                batch = list(self._unwritten)[:OUT_MAX]
+                self._unwritten = {each for each in self._unwritten if self._store_lacks(each)}
+                batch = list(self._unwritten)[:CRASH_RECORDS_MAX]
                 if batch:
                     self._write_batch(batch)
                 pause_s = max(WRITE_PAUSE_S, self.hosts.count / WRITES_PER_S)
--- a/libs/serving/ruddersaddle_serving/entry_hosts.py
+++ b/libs/serving/ruddersaddle_serving/entry_hosts.py
@@ -129,8 +129,8 @@
             engines,
             self.upstreams,
             self.crash_records,
-            lambda crash: self.neighbours.crashes.tell_crash(crash),
-            lambda fingerprint: self.neighbours.crashes.tell_cleared(fingerprint),
+            lambda crash: self.neighbours.crashes.broadcast_crash(crash),
+            lambda fingerprint: self.neighbours.crashes.broadcast_cleared(fingerprint),
         )
         self._build_request_path(wire)
         self._build_tasks()
--- a/libs/serving/ruddersaddle_serving/neighbour_messages.py
+++ b/libs/serving/ruddersaddle_serving/neighbour_messages.py
@@ -5,7 +5,7 @@
 
 from ruddersaddle_serving.cold_starts import ColdStart
 from ruddersaddle_serving.crash_records import CrashRecord
-from ruddersaddle_serving.crash_shares import CrashNews
+from ruddersaddle_serving.crash_shares import CrashUpdate
 from ruddersaddle_serving.fingerprints import Fingerprint
 from ruddersaddle_serving.hosts import HostRecord
 from ruddersaddle_serving.load_shares import LoadSums, Notices
@@ -115,6 +115,6 @@
     | AskParts
     | PartsNews
     | StoreLost
-    | CrashNews
+    | CrashUpdate
     | Noted
 )
--- a/libs/serving/ruddersaddle_serving/neighbours.py
+++ b/libs/serving/ruddersaddle_serving/neighbours.py
@@ -11,7 +11,7 @@
 from ruddersaddle_routing.rendezvous import rank_names
 
 from ruddersaddle_serving.crash_records import CrashRecords
-from ruddersaddle_serving.crash_shares import OUT_MAX, CrashNews, CrashShares
+from ruddersaddle_serving.crash_shares import CRASH_RECORDS_MAX, CrashShares, CrashUpdate
 from ruddersaddle_serving.host_lists import HostList
 from ruddersaddle_serving.hosts import Hosts
 from ruddersaddle_serving.kept_parts import KeptParts
@@ -251,8 +251,8 @@
             self.store.eras.learn(era)
 
     def _take_crashes(self, news: News, asked_at: float) -> None:
-        self.crashes.take_cleared(news.cleared)
-        self.crashes.take_records(news.crashes or ())
+        self.crashes.apply_cleared(news.cleared)
+        self.crashes.apply_records(news.crashes or ())
         self.crashes.confirm(asked_at - news.crashes_age_s)
 
     def _answer(self, message: NeighbourMessage) -> NeighbourMessage:
@@ -269,8 +269,8 @@
                 self.loads.take_notices(message)
             case LoadSums():
                 self.loads.take_sums(message)
-            case CrashNews():
-                self.crashes.take(message)
+            case CrashUpdate():
+                self.crashes.apply_update(message)
             case AskParts():
                 return tell_parts(self.kept, message)
             case StoreLost():
@@ -308,8 +308,8 @@
             else None,
             hosts_position=hosts.position,
             namings=publications.naming_ages(),
-            crashes=None if knows_crashes else records.shared()[:OUT_MAX],
-            cleared=() if knows_crashes else records.recently_cleared()[:OUT_MAX],
+            crashes=None if knows_crashes else records.shared()[:CRASH_RECORDS_MAX],
+            cleared=() if knows_crashes else records.recently_cleared()[:CRASH_RECORDS_MAX],
             crashes_revision=records.revision,
             crashes_age_s=self.crashes.age_s,
             evacuated=publications.evacuations.in_force(),
--- a/libs/serving/ruddersaddle_serving/store_followers.py
+++ b/libs/serving/ruddersaddle_serving/store_followers.py
@@ -265,7 +265,7 @@
     def take(self, page: Page, whole: bool, asked_at: float) -> bool:
         """Take records, then confirm them as of the question."""
         for record in page.records:
-            self.shares.take_record(record)
+            self.shares.apply_record(record)
         if whole:
             self.shares.write_missing()
         self.shares.confirm(asked_at)
@@ -278,4 +278,4 @@
 
     def note_return(self) -> None:
         """What was written since the copy is gone."""
-        self.shares.note_return()
+        self.shares.handle_store_restore()
--- a/libs/serving/ruddersaddle_serving/tests/test_crash_shares.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_crash_shares.py
@@ -10,7 +10,7 @@
 
 from ruddersaddle_serving import crash_shares
 from ruddersaddle_serving.crash_records import Crash, CrashRecords
-from ruddersaddle_serving.crash_shares import CrashNews, CrashShares
+from ruddersaddle_serving.crash_shares import CrashShares, CrashUpdate
 from ruddersaddle_serving.fingerprints import Fingerprint
 from ruddersaddle_serving.hosts import HostRecord, Hosts
 from ruddersaddle_serving.ports import Record, Topic
@@ -38,13 +38,13 @@
             if value is not None:
                 self.value_by_key[key] = value
             for shares in self.followers:
-                shares.take_record(Record(key, value, 0))
+                shares.apply_record(Record(key, value, 0))
         return None
 
     def read(self, shares: CrashShares) -> None:
         """Let a host that has just started read everything."""
         for key, value in self.value_by_key.items():
-            shares.take_record(Record(key, value, 0))
+            shares.apply_record(Record(key, value, 0))
 
 
 class FakePeers:
@@ -55,12 +55,12 @@
         self.is_cut = False
         self.sent = 0
 
-    def tell_all(self, addresses: list[str], message: CrashNews) -> None:
+    def tell_all(self, addresses: list[str], message: CrashUpdate) -> None:
         if self.is_cut:
             return
         for address in addresses:
             self.sent += 1
-            self.by_address[address].take(message)
+            self.by_address[address].apply_update(message)
 
 
 def instance(number: int) -> UpstreamStart:
@@ -70,7 +70,7 @@
 
 class CrashSharesTest(unittest.TestCase):
     def setUp(self) -> None:
-        for name in ("LATER_S", "WRITE_PAUSE_S", "TELL_S"):
+        for name in ("BACKUP_WRITE_DELAY_S", "WRITE_PAUSE_S", "SEND_DELAY_S"):
             patch = mock.patch.object(crash_shares, name, 0.002)
             patch.start()
             self.addCleanup(patch.stop)
@@ -101,14 +101,14 @@
     def test_crashes_seen_by_three_hosts_are_put_together(self) -> None:
         fleet = self.make_fleet(3, 2)
         for number in range(3):
-            fleet[number].tell_crash(Crash(instance(number), (BAD,)))
+            fleet[number].broadcast_crash(Crash(instance(number), (BAD,)))
         self.settle()
         self.assertEqual(self.refusing(fleet), 6)
 
     def test_many_hosts_hear_of_it_by_their_readers(self) -> None:
         fleet = self.make_fleet(4, 10)
         for number in range(3):
-            fleet[7 * number].tell_crash(Crash(instance(number), (BAD,)))
+            fleet[7 * number].broadcast_crash(Crash(instance(number), (BAD,)))
         self.settle()
         self.assertEqual(self.refusing(fleet), 40)
         self.assertLessEqual(self.peers.sent, 3 * 40)
@@ -116,7 +116,7 @@
     def test_crash_that_many_hosts_saw_is_passed_on_together(self) -> None:
         fleet = self.make_fleet(4, 10)
         for number, shares in enumerate(fleet):
-            shares.tell_crash(Crash(instance(0), (BAD, Fingerprint(f"f-{number}"))))
+            shares.broadcast_crash(Crash(instance(0), (BAD, Fingerprint(f"f-{number}"))))
         self.settle()
         self.assertEqual({len(each.records.by_fingerprint) for each in fleet}, {41})
         self.assertLess(self.peers.sent, 40 * 10)
@@ -127,17 +127,17 @@
         self.store.followers = fleet
         self.peers.is_cut = True
         for number in range(3):
-            fleet[number].tell_crash(Crash(instance(number), (BAD,)))
+            fleet[number].broadcast_crash(Crash(instance(number), (BAD,)))
         self.settle()
         self.assertEqual(self.refusing(fleet), 0)
-        fleet[0].tell_crash(Crash(instance(3), (BAD,)))
+        fleet[0].broadcast_crash(Crash(instance(3), (BAD,)))
         self.settle()
         self.assertEqual(self.refusing(fleet), 3)
 
     def test_host_that_has_just_started_refuses_it_by_the_store_alone(self) -> None:
         fleet = self.make_fleet(1, 2)
         for number in range(3):
-            fleet[0].tell_crash(Crash(instance(number), (BAD,)))
+            fleet[0].broadcast_crash(Crash(instance(number), (BAD,)))
         self.settle()
         (new, *_) = self.make_fleet(1, 1)
         self.store.read(new)
@@ -147,7 +147,7 @@
         fleet = self.make_fleet(1, 2)
         self.store.is_away = True
         for number in range(3):
-            fleet[0].tell_crash(Crash(instance(number), (BAD,)))
+            fleet[0].broadcast_crash(Crash(instance(number), (BAD,)))
         self.settle()
         self.assertEqual(self.store.value_by_key, {})
         self.store.is_away = False
@@ -157,7 +157,7 @@
     def test_suspects_of_one_crash_cost_no_call(self) -> None:
         (only,) = self.make_fleet(1, 1)
         names = tuple(Fingerprint(f"f-{number}") for number in range(200))
-        only.tell_crash(Crash(instance(0), names))
+        only.broadcast_crash(Crash(instance(0), names))
         self.settle()
         self.assertEqual(self.store.calls, 0)
 
@@ -165,7 +165,7 @@
         (only,) = self.make_fleet(1, 1)
         names = tuple(Fingerprint(f"f-{number}") for number in range(200))
         for number in range(3):
-            only.tell_crash(Crash(instance(number), names))
+            only.broadcast_crash(Crash(instance(number), names))
         self.settle()
         self.assertEqual(len(self.store.value_by_key), 200)
         self.assertLessEqual(self.store.calls, 3)
@@ -175,7 +175,7 @@
         fleet = self.make_fleet(4, 10)
         self.store.followers = [each for each in fleet if each.hosts.is_reader()]
         for number in range(3):
-            fleet[number].tell_crash(Crash(instance(number), (BAD,)))
+            fleet[number].broadcast_crash(Crash(instance(number), (BAD,)))
             self.settle()
         self.assertEqual(self.refusing(fleet), 40)
         self.assertLessEqual(self.store.calls, 5)
@@ -185,11 +185,11 @@
         self.store.followers = [each for each in fleet if each.hosts.is_reader()]
         (other, *_) = [each for each in fleet if not each.hosts.is_reader()]
         for number in range(3):
-            fleet[0].tell_crash(Crash(instance(number), (BAD,)))
+            fleet[0].broadcast_crash(Crash(instance(number), (BAD,)))
         self.settle()
         self.assertEqual(list(self.store.value_by_key), [BAD])
         other.records.record_completion(BAD, clocks.unix_ms())
-        other.tell_cleared(BAD)
+        other.broadcast_cleared(BAD)
         self.settle()
         self.assertEqual(self.store.value_by_key, {})
 
@@ -197,10 +197,10 @@
         fleet = self.make_fleet(1, 3)
         self.store.followers = fleet
         for number in range(3):
-            fleet[0].tell_crash(Crash(instance(number), (BAD,)))
+            fleet[0].broadcast_crash(Crash(instance(number), (BAD,)))
         self.settle()
         self.assertTrue(fleet[2].records.record_completion(BAD, clocks.unix_ms()))
-        fleet[2].tell_cleared(BAD)
+        fleet[2].broadcast_cleared(BAD)
         self.settle()
         self.assertEqual(self.refusing(fleet), 0)
         self.assertEqual(self.store.value_by_key, {})
@@ -209,14 +209,14 @@
         fleet = self.make_fleet(1, 2)
         fleet[1].records.record_completion(COMMON, clocks.unix_ms())
         for number in range(3):
-            fleet[0].tell_crash(Crash(instance(number), (COMMON,)))
+            fleet[0].broadcast_crash(Crash(instance(number), (COMMON,)))
             self.settle()
         self.assertEqual(self.refusing(fleet, COMMON), 0)
 
     def test_unreadable_record_is_left_out(self) -> None:
         (only,) = self.make_fleet(1, 1)
         for value in (b"{}", b"\xff", b'["x", [["e"]], "late"]', b'["y", [["e"]], 5]'):
-            only.take_record(Record("x", value, 0))
+            only.apply_record(Record("x", value, 0))
         self.assertEqual(only.records.by_fingerprint, {})
 
 
