--- a/libs/serving/ruddersaddle_serving/tests/load_replays.py
+++ b/libs/serving/ruddersaddle_serving/tests/load_replays.py
@@ -28,7 +28,7 @@
 )
 from ruddersaddle_serving.placements import Choice, Placement
 from ruddersaddle_serving.ports import Presence
-from ruddersaddle_serving.probes import LOOK_S, Probes
+from ruddersaddle_serving.probes import CHECK_INTERVAL_S, Probes
 from ruddersaddle_serving.prompts import CallerHead, CallerRequest, Part, PartId, Prompt
 from ruddersaddle_serving.publications import Publications
 from ruddersaddle_serving.routes import Route, RouteKind, RouteName, Target
@@ -398,7 +398,7 @@
                 self._every(SUMS_S, lambda shares=host.shares: shares.tell_sums(False))
                 totals_s = SUMS_S * TOTALS_EVERY
                 self._every(totals_s, lambda shares=host.shares: shares.tell_sums(True))
-                self._every(LOOK_S, lambda probes=host.probes: self._probe(probes))
+                self._every(CHECK_INTERVAL_S, lambda probes=host.probes: self._probe(probes))
         self._plan_callers()
         self._plan_darkness()
 
--- a/libs/serving/ruddersaddle_serving/tests/test_probes.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_probes.py
@@ -7,7 +7,7 @@
 
 from ruddersaddle_serving.hosts import HostRecord, Hosts
 from ruddersaddle_serving.ports import Presence
-from ruddersaddle_serving.probes import PAUSE_S, Probes
+from ruddersaddle_serving.probes import PROBE_INTERVAL_S, Probes
 from ruddersaddle_serving.tests.fixed_clocks import FixedClockTest
 from ruddersaddle_serving.trackers import Notice, Progress, Reach, Trackers
 from ruddersaddle_serving.upstream_entries import UpstreamEntry
@@ -68,10 +68,10 @@
     def test_dark_upstream_is_probed_until_it_takes_a_connection(self) -> None:
         self.fall_silent(self.probes)
         self.probes.engines.presence.return_value = Presence.DOWN
-        self.assertIn(self.run_for(4.0), range(8, round(4.0 / PAUSE_S) + 1))
+        self.assertIn(self.run_for(4.0), range(8, round(4.0 / PROBE_INTERVAL_S) + 1))
         self.assertFalse(self.tracker.is_sound)
         self.probes.engines.presence.return_value = Presence.HERE
-        self.run_for(2 * PAUSE_S)
+        self.run_for(2 * PROBE_INTERVAL_S)
         self.assertTrue(self.tracker.is_sound)
         self.assertEqual(self.run_for(4.0), 0)
 
