--- a/libs/serving/ruddersaddle_serving/entry_hosts.py
+++ b/libs/serving/ruddersaddle_serving/entry_hosts.py
@@ -47,7 +47,8 @@
 from ruddersaddle_serving.request_ends import cut_fields
 from ruddersaddle_serving.self_reports import SelfReport
 from ruddersaddle_serving.silent_peers import watch_callers
-from ruddersaddle_serving.standstills import Standstills
+from ruddersaddle_serving.standstills import StallMonitor
+from ruddersaddle_serving.stop_signals import StopSignals
 from ruddersaddle_serving.store_followers import (
     CRASH_WAIT_S,
     OPERATOR_WAIT_S,
@@ -57,7 +58,6 @@
     StoreLink,
     UpstreamFollower,
 )
-from ruddersaddle_serving.taken_signals import TakenSignals
 from ruddersaddle_serving.tasks import spawn_forever
 from ruddersaddle_serving.trackers import Notice, Trackers
 from ruddersaddle_serving.upstream_lists import UpstreamList
@@ -110,8 +110,8 @@
         self.engines = engines
         self.incarnation = incarnation
         self.stopping = False
-        self.signals = TakenSignals()
-        self.standstills = Standstills()
+        self.signals = StopSignals()
+        self.stall_monitor = StallMonitor()
         self.histograms = Histograms()
         self.link = StoreLink()
         self.publications = Publications()
@@ -308,7 +308,7 @@
             self.budget.most = max(1.0, slack / self.neighbours.hosts.count)
             slept_at = clocks.now_s()
             eventlet.sleep(HOUSEKEEPING_S)
-            self.standstills.check(slept_at, HOUSEKEEPING_S)
+            self.stall_monitor.check(slept_at, HOUSEKEEPING_S)
 
     # Readiness, metrics
 
@@ -356,7 +356,7 @@
             ("crash_suspects", "requests under which an upstream ended", suspects),
             ("crash_records_shared", "of these, known to all hosts", len(records.shared())),
             ("crash_suspects_cleared", "suspects that ended whole", records.cleared),
-            ("stood_still_seconds", "standstill since the start", self.standstills.total_s),
+            ("stood_still_seconds", "standstill since the start", self.stall_monitor.total_s),
         )
         budget = {"spent": self.budget.spent, "denied": self.budget.denied}
         lines = format_gauges(gauges)
@@ -407,7 +407,7 @@
         line about it is written by the task that carries the stop out. A second signal is counted
         and changes nothing; the platform counts from the first.
         """
-        self.signals.note(number)
+        self.signals.record(number)
         self.stopping = True
         self.front.closing = True
         self.rollouts.stopping = True
--- a/libs/serving/ruddersaddle_serving/standstills.py
+++ b/libs/serving/ruddersaddle_serving/standstills.py
@@ -6,11 +6,11 @@
 
 logger = logging.getLogger(__name__)
 
-TOLD_S = 0.5
+STALL_MIN_S = 0.5
 """A task that wakes later than this was kept from it; on a busy machine some 0.1 s are usual."""
 
 
-class Standstills:
+class StallMonitor:
     """Measures how late one regular task wakes."""
 
     def __init__(self) -> None:
@@ -20,7 +20,7 @@
     def check(self, slept_at: float, pause_s: float) -> None:
         """Compare a pause with how long it took; call it when the pause is over."""
         late_s = clocks.now_s() - slept_at - pause_s
-        if late_s < TOLD_S:
+        if late_s < STALL_MIN_S:
             return
         self.total_s += late_s
         logger.warning("The process stood still.", extra={"still_ms": round(late_s * 1000)})
--- a/libs/serving/ruddersaddle_serving/taken_signals.py
+++ b/libs/serving/ruddersaddle_serving/stop_signals.py
@@ -6,7 +6,7 @@
 from ruddersaddle_base import clocks
 
 
-class TakenSignals:
+class StopSignals:
     """What a signal's handler may leave behind: handlers run in the event loop and only set this.
 
     The lines about it are written by the task that carries the stop out.
@@ -17,7 +17,7 @@
         self.first: int | None = None
         self.first_at = 0.0
 
-    def note(self, number: int) -> None:
+    def record(self, number: int) -> None:
         """Note a signal."""
         if self.first is None:
             self.first = number
--- a/libs/serving/ruddersaddle_serving/tests/test_suspensions.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_suspensions.py
@@ -24,7 +24,7 @@
 from ruddersaddle_serving.prompts import CallerHead, CallerRequest
 from ruddersaddle_serving.publications import Publications
 from ruddersaddle_serving.routes import Route, RouteKind, RouteName, Workspace
-from ruddersaddle_serving.standstills import Standstills
+from ruddersaddle_serving.standstills import StallMonitor
 from ruddersaddle_serving.store_eras import StoreEras
 from ruddersaddle_serving.upstream_lists import UpstreamList
 
@@ -101,11 +101,11 @@
         self.assertTrue(self.publications.is_replaced_for(model, 1, SUSPENDED_S - 0.1))
 
     def test_it_is_told_as_a_standstill(self) -> None:
-        standstills = Standstills()
+        stall_monitor = StallMonitor()
         slept_at = clocks.now_s()
         self.suspend()
-        standstills.check(slept_at, 1.0)
-        self.assertGreater(standstills.total_s, SUSPENDED_S - 2.0)
+        stall_monitor.check(slept_at, 1.0)
+        self.assertGreater(stall_monitor.total_s, SUSPENDED_S - 2.0)
 
 
 class ClockReadsTest(unittest.TestCase):
