--- a/libs/serving/ruddersaddle_serving/settings_watches.py
+++ b/libs/serving/ruddersaddle_serving/settings_watches.py
@@ -12,10 +12,10 @@
 
 logger = logging.getLogger(__name__)
 
-LOOK_S = 0.5
+POLL_INTERVAL_S = 0.5
 """Pause between looks at the file's time of change; it is read when two looks agree, so a file that
 was seen half written is not taken."""
-LOOKS_MAX = 4
+POLLS_MAX = 4
 """Looks after a signal until the file is read though it goes on changing."""
 
 Read = Callable[[], Settings | list[Problem]]
@@ -31,28 +31,28 @@
         self.read = read
         self.settings = Settings({})
         self.signalled = False
-        self._seen: Stamp | None = None
-        self._taken: Stamp | None = None
-        self._looks = 0
+        self._last_seen: Stamp | None = None
+        self._applied: Stamp | None = None
+        self._polls = 0
         """Looks since a signal that the file went on changing."""
 
-    def begin(self) -> Settings | list[Problem]:
+    def load_initial(self) -> Settings | list[Problem]:
         """Take SIGHUP and return the first settings.
 
         The file is looked at before it is read, so that a change while it is read is seen later.
         """
-        signal.signal(signal.SIGHUP, self._note_signal)
-        self._seen = self._taken = self._stamp()
+        signal.signal(signal.SIGHUP, self._handle_signal)
+        self._last_seen = self._applied = self._stamp()
         found = self.read()
         if isinstance(found, Settings):
             self.settings = found
         return found
 
     def start(self, apply: Callable[[Settings], None]) -> None:
-        """Start to look at the file."""
+        """Start to poll the file."""
         spawn_forever("settings", self._run, apply)
 
-    def _note_signal(self, *_: object) -> None:
+    def _handle_signal(self, *_: object) -> None:
         self.signalled = True
 
     def _stamp(self) -> Stamp | None:
@@ -68,28 +68,28 @@
 
     def _run(self, apply: Callable[[Settings], None]) -> None:
         while True:
-            eventlet.sleep(LOOK_S)
-            self.look(apply)
+            eventlet.sleep(POLL_INTERVAL_S)
+            self.poll(apply)
 
-    def look(self, apply: Callable[[Settings], None]) -> None:
-        """Read the file where there is a reason to, and it rests.
+    def poll(self, apply: Callable[[Settings], None]) -> None:
+        """Read the file if there is a reason to, once it is stable.
 
-        After a signal it is read at the latest look of `LOOKS_MAX`: beside a file written each
+        After a signal it is read at the last of `POLLS_MAX` polls: beside a file written each
         0.3 s a signal was not served in 10 s.
         """
         stamp = self._stamp()
         if stamp is None:
-            self._seen = None
+            self._last_seen = None
             return
-        rests = stamp == self._seen
-        self._seen = stamp
-        self._looks = self._looks + 1 if self.signalled else 0
-        if self._looks >= LOOKS_MAX or (rests and (self.signalled or stamp != self._taken)):
-            self._take(stamp, apply)
-
-    def _take(self, stamp: Stamp, apply: Callable[[Settings], None]) -> None:
-        self._taken = stamp
-        self._looks = 0
+        is_stable = stamp == self._last_seen
+        self._last_seen = stamp
+        self._polls = self._polls + 1 if self.signalled else 0
+        if self._polls >= POLLS_MAX or (is_stable and (self.signalled or stamp != self._applied)):
+            self._apply(stamp, apply)
+
+    def _apply(self, stamp: Stamp, apply: Callable[[Settings], None]) -> None:
+        self._applied = stamp
+        self._polls = 0
         self.signalled = False
         self._reload(apply)
 
