--- a/libs/daemon/ruddersaddle/commands.py
+++ b/libs/daemon/ruddersaddle/commands.py
@@ -137,7 +137,7 @@
     publisher = _publisher(log, hosts)
     configuration = publisher.configuration
     if change:
-        fate = configuration.fate_by_id.get(change)
+        fate = configuration.result_by_id.get(change)
         if fate is None:
             _exit(EXIT_UNKNOWN, f"{change}: not in what the log still has; it has not landed")
         _print(json, fate, f"{fate.outcome.value} at {fate.position} {fate.reason}")
@@ -280,7 +280,7 @@
 
 
 def _history_row(publisher: Publisher, position: int, change: Change) -> HistoryRow:
-    fate = publisher.configuration.fate_by_id.get(change.id)
+    fate = publisher.configuration.result_by_id.get(change.id)
     outcome = "unknown" if fate is None else fate.outcome.value
     reason = "" if fate is None else fate.reason
     entries = [edit.key for edit in change.edits]
--- a/libs/daemon/ruddersaddle/keyed_calls.py
+++ b/libs/daemon/ruddersaddle/keyed_calls.py
@@ -15,7 +15,7 @@
 from ruddersaddle_state.appenders import Appender
 from ruddersaddle_state.claims import Claims
 from ruddersaddle_state.followers import Follower
-from ruddersaddle_state.records import Claim, Fate, Outcome, Void
+from ruddersaddle_state.records import Claim, Outcome, RecordResult, Void
 
 from ruddersaddle.answers import Answer, KeptAnswers
 from ruddersaddle.messages import AnswerMessage, AskAnswer, ServiceCall
@@ -116,7 +116,7 @@
         return answer
 
     def _lost_claim(
-        self, keyed: KeyedCall, attempt: RecordId, fate: Fate | None, ask: AskOwner
+        self, keyed: KeyedCall, attempt: RecordId, fate: RecordResult | None, ask: AskOwner
     ) -> Answer:
         """Answer a call whose claim was refused, or not read back in time."""
         if fate is None:
@@ -159,7 +159,7 @@
     def _void_record(self, keyed: KeyedCall, attempt: RecordId) -> Void:
         return Void(new_record_id(), keyed.key, attempt, keyed.dated)
 
-    def _settle(self, record: Claim | Void, timeout_s: float) -> Fate | None:
+    def _settle(self, record: Claim | Void, timeout_s: float) -> RecordResult | None:
         """Append a record and wait until it is read back; None if that took too long.
 
         An append whose answer is lost may have taken effect, so the fate counts, not the answer.
--- a/libs/daemon/ruddersaddle/publishers.py
+++ b/libs/daemon/ruddersaddle/publishers.py
@@ -14,7 +14,7 @@
 from ruddersaddle_state.configurations import Configuration
 from ruddersaddle_state.followers import Follower
 from ruddersaddle_state.log_clients import LogClient
-from ruddersaddle_state.records import Batch, Change, Edit, Fate, Outcome, Stream
+from ruddersaddle_state.records import Batch, Change, Edit, Outcome, RecordResult, Stream
 from ruddersaddle_upstreams.connections import OK, Connections
 from ruddersaddle_upstreams.host_lists import HostList, HostState
 
@@ -85,10 +85,10 @@
         word = Word.ACCEPTED if accepted else Word.REJECTED
         return Published(word, change.id, fate.position, fate.reason)
 
-    def _find_fate(self, change: RecordId, deadline: float) -> Fate | None:
+    def _find_fate(self, change: RecordId, deadline: float) -> RecordResult | None:
         while True:
             self.follower.read_once(0.0)
-            fate = self.configuration.fate_by_id.get(change)
+            fate = self.configuration.result_by_id.get(change)
             if fate is not None or time.monotonic() >= deadline:
                 return fate
             time.sleep(PAUSE_S)
--- a/libs/standins/ruddersaddle_standins/tests/test_configuration_force.py
+++ b/libs/standins/ruddersaddle_standins/tests/test_configuration_force.py
@@ -107,7 +107,7 @@
         # The bytes had left, so the log takes the append once it goes on.
         wait_until(lambda: self.weight() == 23, "the change lands")
         publisher.read()
-        fate = publisher.configuration.fate_by_id[result.change]
+        fate = publisher.configuration.result_by_id[result.change]
         self.assertIs(fate.outcome, Outcome.ACCEPTED)
         self.await_alike()
 
--- a/libs/state/ruddersaddle_state/appenders.py
+++ b/libs/state/ruddersaddle_state/appenders.py
@@ -58,7 +58,7 @@
         return time.monotonic() - self.failing_since >= DOWN_AFTER_S
 
     def post(self, record: Record, give_up: GiveUp | None = None) -> None:
-        """Append a record with whatever else waits; its fate is learned by reading it back.
+        """Append a record with whatever else waits; its result is learned by reading it back.
 
         `give_up` is called if the append can't have taken effect, and only then.
         """
--- a/libs/state/ruddersaddle_state/claims.py
+++ b/libs/state/ruddersaddle_state/claims.py
@@ -12,7 +12,7 @@
 import msgspec
 from ruddersaddle_base.ids import START, CallKey, Incarnation, Position, RecordId
 
-from ruddersaddle_state.records import Claim, Fate, Outcome, Placed, Void
+from ruddersaddle_state.records import Claim, Outcome, Placed, RecordResult, Void
 
 
 class Rule(Enum):
@@ -51,10 +51,10 @@
         if gap:
             self.known_since = time.time()
 
-    def apply(self, placed: Placed) -> Fate:
-        """Fold one record and return its fate."""
+    def apply(self, placed: Placed) -> RecordResult:
+        """Fold one record and return its result."""
         if placed.position <= self.position:
-            return Fate(Outcome.STALE, placed.position)
+            return RecordResult(Outcome.STALE, placed.position)
         self.position = placed.position
         self.now = max(self.now, placed.time)
         self.known_since = min(self.known_since, placed.time)
@@ -64,38 +64,38 @@
                 return self._apply_claim(claim, placed.position)
             case Void() as void:
                 return self._apply_void(void, placed.position)
-        return Fate(Outcome.REJECTED, placed.position, "not a record of this stream")
+        return RecordResult(Outcome.REJECTED, placed.position, "not a record of this stream")
 
-    def _apply_claim(self, claim: Claim, position: Position) -> Fate:
+    def _apply_claim(self, claim: Claim, position: Position) -> RecordResult:
         if self.is_forgotten(claim.dated):
-            return Fate(Outcome.EXPIRED, position)
+            return RecordResult(Outcome.EXPIRED, position)
         state = self._state(claim.key, claim.dated)
         if state.holder == claim.id:
-            return Fate(Outcome.ACCEPTED, state.version)
+            return RecordResult(Outcome.ACCEPTED, state.version)
         if state.holder is not None:
-            return Fate(Outcome.HELD, position)
+            return RecordResult(Outcome.HELD, position)
         if state.closed or self._is_stale(state, claim):
-            return Fate(Outcome.STALE, position)
+            return RecordResult(Outcome.STALE, position)
         state.holder = claim.id
         state.owner = claim.owner
         state.version = position
-        return Fate(Outcome.ACCEPTED, position)
+        return RecordResult(Outcome.ACCEPTED, position)
 
     def _is_stale(self, state: KeyState, claim: Claim) -> bool:
         compared = self.rule in (Rule.READ, Rule.TOLD)
         return compared and state.version > claim.base
 
-    def _apply_void(self, void: Void, position: Position) -> Fate:
+    def _apply_void(self, void: Void, position: Position) -> RecordResult:
         if self.is_forgotten(void.dated):
-            return Fate(Outcome.EXPIRED, position)
+            return RecordResult(Outcome.EXPIRED, position)
         state = self._state(void.key, void.dated)
         if state.holder not in (None, void.attempt):
-            return Fate(Outcome.HELD, position)
+            return RecordResult(Outcome.HELD, position)
         state.holder = None
         state.owner = None
         state.version = position
         state.closed = self.rule is Rule.FINAL
-        return Fate(Outcome.ACCEPTED, position)
+        return RecordResult(Outcome.ACCEPTED, position)
 
     def _state(self, key: CallKey, dated: float) -> KeyState:
         state = self.by_key.get(key)
--- a/libs/state/ruddersaddle_state/configurations.py
+++ b/libs/state/ruddersaddle_state/configurations.py
@@ -25,16 +25,16 @@
     Change,
     Edit,
     Entry,
-    Fate,
     Outcome,
     Placed,
+    RecordResult,
     Snapshot,
 )
 
 logger = logging.getLogger(__name__)
 
 DIGEST_BYTES = 8
-FATES_MAX = 2000
+RESULTS_MAX = 2000
 """Fates of changes that are remembered for operators who ask."""
 
 
@@ -48,7 +48,7 @@
         self.position = START
         self.complete = False
         self.snapshot_seen = START
-        self.fate_by_id: dict[RecordId, Fate] = {}
+        self.result_by_id: dict[RecordId, RecordResult] = {}
         self._waiting: list[Placed] = []
         self._waiting_from = START
 
@@ -62,26 +62,28 @@
         self._waiting = []
         self._waiting_from = first
 
-    def apply(self, placed: Placed) -> Fate:
-        """Fold one record and return its fate."""
+    def apply(self, placed: Placed) -> RecordResult:
+        """Fold one record and return its result."""
         if placed.position <= self.position:
-            return self.fate_by_id.get(placed.record.id, Fate(Outcome.STALE, placed.position))
+            return self.result_by_id.get(
+                placed.record.id, RecordResult(Outcome.STALE, placed.position)
+            )
         if isinstance(placed.record, Snapshot):
             return self._apply_snapshot(placed, placed.record)
         if not self.complete:
             self._waiting.append(placed)
-            return Fate(Outcome.HELD, placed.position, "waiting for a snapshot")
+            return RecordResult(Outcome.HELD, placed.position, "waiting for a snapshot")
         return self._apply_change(placed)
 
-    def _apply_snapshot(self, placed: Placed, snapshot: Snapshot) -> Fate:
+    def _apply_snapshot(self, placed: Placed, snapshot: Snapshot) -> RecordResult:
         self.snapshot_seen = placed.position
         if self.complete:
             self.position = placed.position
-            return Fate(Outcome.ACCEPTED, placed.position)
+            return RecordResult(Outcome.ACCEPTED, placed.position)
         if not self.adopt(snapshot):
-            return Fate(Outcome.STALE, placed.position, "does not cover what is missing")
+            return RecordResult(Outcome.STALE, placed.position, "does not cover what is missing")
         self.position = placed.position
-        return Fate(Outcome.ACCEPTED, placed.position)
+        return RecordResult(Outcome.ACCEPTED, placed.position)
 
     def adopt(self, snapshot: Snapshot) -> bool:
         """Take over a whole state, and fold what was read after it; return whether it was taken.
@@ -103,26 +105,26 @@
             self.apply(placed)
         return True
 
-    def _apply_change(self, placed: Placed) -> Fate:
+    def _apply_change(self, placed: Placed) -> RecordResult:
         self.position = placed.position
         record = placed.record
         if not isinstance(record, Change):
-            return Fate(Outcome.REJECTED, placed.position, "not a record of this stream")
-        known = self.fate_by_id.get(record.id)
+            return RecordResult(Outcome.REJECTED, placed.position, "not a record of this stream")
+        known = self.result_by_id.get(record.id)
         if known is not None:
             return known
-        fate = self._decide(record, placed.position)
-        self._remember(record.id, fate)
-        return fate
+        result = self._decide(record, placed.position)
+        self._remember(record.id, result)
+        return result
 
-    def _decide(self, change: Change, position: Position) -> Fate:
+    def _decide(self, change: Change, position: Position) -> RecordResult:
         for edit in change.edits:
             reason = self.check_edit(edit)
             if reason:
-                return Fate(Outcome.REJECTED, position, reason)
+                return RecordResult(Outcome.REJECTED, position, reason)
         for edit in change.edits:
             self._put(Entry(edit.key, position, edit.value, change.id))
-        return Fate(Outcome.ACCEPTED, position)
+        return RecordResult(Outcome.ACCEPTED, position)
 
     def _put(self, entry: Entry) -> None:
         """Set an entry, and keep the values by kind and the callers' keys in step."""
@@ -170,10 +172,10 @@
                 return "expected callers' keys that no other workspace has"
         return None
 
-    def _remember(self, record: RecordId, fate: Fate) -> None:
-        self.fate_by_id[record] = fate
-        if len(self.fate_by_id) > FATES_MAX:
-            del self.fate_by_id[next(iter(self.fate_by_id))]
+    def _remember(self, record: RecordId, result: RecordResult) -> None:
+        self.result_by_id[record] = result
+        if len(self.result_by_id) > RESULTS_MAX:
+            del self.result_by_id[next(iter(self.result_by_id))]
 
     def snapshot(self) -> Snapshot:
         """Return the whole state as a record."""
--- a/libs/state/ruddersaddle_state/followers.py
+++ b/libs/state/ruddersaddle_state/followers.py
@@ -10,7 +10,7 @@
 from ruddersaddle_base.ids import Position, RecordId, join_position, split_offset
 
 from ruddersaddle_state.log_clients import LogClient
-from ruddersaddle_state.records import Fate, Placed, Stream
+from ruddersaddle_state.records import Placed, RecordResult, Stream
 
 logger = logging.getLogger(__name__)
 
@@ -28,7 +28,7 @@
     def begin(self, first: Position, gap: bool) -> None:
         """Start reading at `first`; a gap means that records before it are gone."""
 
-    def apply(self, placed: Placed) -> Fate:
+    def apply(self, placed: Placed) -> RecordResult:
         """Fold one record."""
 
 
@@ -91,17 +91,17 @@
         self.reachable = False
 
     def _fold(self, placed: Placed) -> None:
-        fate = self.fold.apply(placed)
+        result = self.fold.apply(placed)
         signal = self._signal_by_id.get(placed.record.id)
         if signal is not None and not signal.ready():
-            signal.send(fate)
+            signal.send(result)
 
     def expect(self, record: RecordId) -> None:
         """Get ready to wait for a record; call before appending it."""
         self._signal_by_id[record] = Signal()
 
-    def wait(self, record: RecordId, timeout_s: float) -> Fate | None:
-        """Wait for an expected record's fate; None if it was not read in time."""
+    def wait(self, record: RecordId, timeout_s: float) -> RecordResult | None:
+        """Wait for an expected record's result; None if it was not read in time."""
         signal = self._signal_by_id.get(record)
         if signal is None:
             return None
--- a/libs/state/ruddersaddle_state/leases.py
+++ b/libs/state/ruddersaddle_state/leases.py
@@ -2,7 +2,7 @@
 
 from ruddersaddle_base.ids import START, Incarnation, PoolId, Position
 
-from ruddersaddle_state.records import Fate, Grant, Outcome, Placed, Release
+from ruddersaddle_state.records import Grant, Outcome, Placed, RecordResult, Release
 
 
 class Lease:
@@ -30,10 +30,10 @@
     def begin(self, first: Position, gap: bool) -> None:
         """Start reading at `first`; leases from before a gap have lapsed, so none is missing."""
 
-    def apply(self, placed: Placed) -> Fate:
-        """Fold one record and return its fate."""
+    def apply(self, placed: Placed) -> RecordResult:
+        """Fold one record and return its result."""
         if placed.position <= self.position:
-            return Fate(Outcome.STALE, placed.position)
+            return RecordResult(Outcome.STALE, placed.position)
         self.position = placed.position
         self.now = max(self.now, placed.time)
         match placed.record:
@@ -41,22 +41,22 @@
                 return self._apply_grant(grant, placed.position)
             case Release() as release:
                 return self._apply_release(release, placed.position)
-        return Fate(Outcome.REJECTED, placed.position, "not a record of this stream")
+        return RecordResult(Outcome.REJECTED, placed.position, "not a record of this stream")
 
-    def _apply_grant(self, grant: Grant, position: Position) -> Fate:
+    def _apply_grant(self, grant: Grant, position: Position) -> RecordResult:
         lease = self.by_pool.get(grant.pool)
         until = self.now + grant.length_s
         if lease is not None and lease.holder == grant.holder and self.now <= lease.until:
             lease.until = until
-            return Fate(Outcome.ACCEPTED, lease.fence)
+            return RecordResult(Outcome.ACCEPTED, lease.fence)
         if lease is not None and self.now <= lease.until + self.margin_s:
-            return Fate(Outcome.HELD, position)
+            return RecordResult(Outcome.HELD, position)
         self.by_pool[grant.pool] = Lease(grant.holder, position, until)
-        return Fate(Outcome.ACCEPTED, position)
+        return RecordResult(Outcome.ACCEPTED, position)
 
-    def _apply_release(self, release: Release, position: Position) -> Fate:
+    def _apply_release(self, release: Release, position: Position) -> RecordResult:
         lease = self.by_pool.get(release.pool)
         if lease is None or lease.holder != release.holder:
-            return Fate(Outcome.STALE, position)
+            return RecordResult(Outcome.STALE, position)
         del self.by_pool[release.pool]
-        return Fate(Outcome.ACCEPTED, position)
+        return RecordResult(Outcome.ACCEPTED, position)
--- a/libs/state/ruddersaddle_state/records.py
+++ b/libs/state/ruddersaddle_state/records.py
@@ -122,7 +122,7 @@
     EXPIRED = "expired"
 
 
-class Fate(msgspec.Struct, frozen=True):
+class RecordResult(msgspec.Struct, frozen=True):
     """The outcome of one record, where it stands and why."""
 
     outcome: Outcome
--- a/libs/state/ruddersaddle_state/tests/test_claims.py
+++ b/libs/state/ruddersaddle_state/tests/test_claims.py
@@ -25,9 +25,9 @@
         self.next = 0
 
     def apply(self, record, time=1000.0):
-        fate = self.claims.apply(Placed(Position(self.next), time, record))
+        result = self.claims.apply(Placed(Position(self.next), time, record))
         self.next += 1
-        return fate.outcome
+        return result.outcome
 
     def test_the_first_claim_wins_and_a_duplicate_of_it_changes_nothing(self):
         self.assertEqual(self.apply(claim("a")), Outcome.ACCEPTED)
--- a/libs/state/ruddersaddle_state/tests/test_configurations.py
+++ b/libs/state/ruddersaddle_state/tests/test_configurations.py
@@ -48,8 +48,8 @@
         configuration.apply(place(0, change("a", START, 2)))
         good = change("x", START, 5, "other").edits
         stale = change("y", START, 9).edits
-        fate = configuration.apply(place(1, Change(RecordId("b"), "op", good + stale)))
-        self.assertEqual(fate.outcome, Outcome.REJECTED)
+        result = configuration.apply(place(1, Change(RecordId("b"), "op", good + stale)))
+        self.assertEqual(result.outcome, Outcome.REJECTED)
         self.assertIsNone(configuration.get(Workspace, "other"))
 
     def test_a_changed_or_deleted_workspace_gives_up_its_callers_keys(self):
@@ -72,14 +72,14 @@
         for offset, name in enumerate("ab"):
             value = Workspace(WorkspaceId(name), ("c" * 64,))
             edit = Edit(entry_key(value), START, value)
-            fate = configuration.apply(place(offset, Change(RecordId(name), "op", (edit,))))
-        self.assertEqual(fate.outcome, Outcome.REJECTED)
-        self.assertIn("no other workspace", fate.reason)
+            result = configuration.apply(place(offset, Change(RecordId(name), "op", (edit,))))
+        self.assertEqual(result.outcome, Outcome.REJECTED)
+        self.assertIn("no other workspace", result.reason)
 
     def test_a_wrong_value_is_rejected_in_the_fold_too(self):
-        fate = started().apply(place(0, change("a", START, 0)))
-        self.assertEqual(fate.outcome, Outcome.REJECTED)
-        self.assertIn("weight", fate.reason)
+        result = started().apply(place(0, change("a", START, 0)))
+        self.assertEqual(result.outcome, Outcome.REJECTED)
+        self.assertIn("weight", result.reason)
 
     def test_a_host_that_starts_behind_retention_waits_for_a_snapshot_and_ends_alike(self):
         records, whole = [], started()
