--- a/libs/daemon/ruddersaddle/commands.py
+++ b/libs/daemon/ruddersaddle/commands.py
@@ -271,9 +271,9 @@
     start = 0
     while True:
         page = publisher.client.read(Stream.CONFIGURATION, start, 0.0)
-        if isinstance(page, Failure) or not page.placed:
+        if isinstance(page, Failure) or not page.records:
             return rows
-        for placed in page.placed:
+        for placed in page.records:
             if isinstance(placed.record, Change):
                 rows.append(_history_row(publisher, placed.position, placed.record))
         start = page.next
--- a/libs/standins/ruddersaddle_standins/capacities.py
+++ b/libs/standins/ruddersaddle_standins/capacities.py
@@ -34,7 +34,7 @@
 from ruddersaddle_state.claims import Claims
 from ruddersaddle_state.configurations import Configuration
 from ruddersaddle_state.entries import Workspace, entry_key
-from ruddersaddle_state.records import Change, Claim, Edit, Placed
+from ruddersaddle_state.records import Change, Claim, Edit, PositionedRecord
 from ruddersaddle_upstreams.chains import block_keys
 from ruddersaddle_upstreams.connections import OK
 
@@ -119,7 +119,7 @@
         record = RecordId(f"{number:032x}")
         owner = Incarnation(f"host-{number % 6}.abcdef012345")
         claim = Claim(record, key, owner, START, time.time())
-        claims.apply(Placed(join_position(number, 0), 1.0, claim))
+        claims.apply(PositionedRecord(join_position(number, 0), 1.0, claim))
     return claims
 
 
@@ -131,7 +131,7 @@
         value = Workspace(WorkspaceId(f"workspace-{number}"), (f"{number:064x}",))
         edit = Edit(entry_key(value), START, value)
         change = Change(RecordId(f"{number:032x}"), "operator", (edit,))
-        configuration.apply(Placed(join_position(number, 0), 1.0, change))
+        configuration.apply(PositionedRecord(join_position(number, 0), 1.0, change))
     return configuration
 
 
--- a/libs/standins/ruddersaddle_standins/claim_models.py
+++ b/libs/standins/ruddersaddle_standins/claim_models.py
@@ -13,7 +13,7 @@
 import msgspec
 from ruddersaddle_base.ids import START, CallKey, Incarnation, Position, RecordId
 from ruddersaddle_state.claims import Claims, Rule
-from ruddersaddle_state.records import Claim, Outcome, Placed, Void
+from ruddersaddle_state.records import Claim, Outcome, PositionedRecord, Void
 
 KEY = CallKey("w/k")
 COPIES = 2
@@ -77,7 +77,7 @@
         claims = Claims(FOREVER_S, 0.0, self.rule)
         accepted = set()
         for index, note in enumerate(log):
-            fate = claims.apply(Placed(Position(index), 1.0, _record(note, index)))
+            fate = claims.apply(PositionedRecord(Position(index), 1.0, _record(note, index)))
             if fate.outcome is Outcome.ACCEPTED:
                 accepted.add(index)
         state = claims.by_key.get(KEY)
--- a/libs/state/ruddersaddle_state/claims.py
+++ b/libs/state/ruddersaddle_state/claims.py
@@ -12,7 +12,7 @@
 import msgspec
 from ruddersaddle_base.ids import START, CallKey, Incarnation, Position, RecordId
 
-from ruddersaddle_state.records import Claim, Outcome, Placed, RecordResult, Void
+from ruddersaddle_state.records import Claim, Outcome, PositionedRecord, RecordResult, Void
 
 
 class Rule(Enum):
@@ -51,20 +51,20 @@
         if gap:
             self.known_since = time.time()
 
-    def apply(self, placed: Placed) -> RecordResult:
+    def apply(self, positioned: PositionedRecord) -> RecordResult:
         """Fold one record and return its result."""
-        if placed.position <= self.position:
-            return RecordResult(Outcome.STALE, placed.position)
-        self.position = placed.position
-        self.now = max(self.now, placed.time)
-        self.known_since = min(self.known_since, placed.time)
+        if positioned.position <= self.position:
+            return RecordResult(Outcome.STALE, positioned.position)
+        self.position = positioned.position
+        self.now = max(self.now, positioned.time)
+        self.known_since = min(self.known_since, positioned.time)
         self._prune()
-        match placed.record:
+        match positioned.record:
             case Claim() as claim:
-                return self._apply_claim(claim, placed.position)
+                return self._apply_claim(claim, positioned.position)
             case Void() as void:
-                return self._apply_void(void, placed.position)
-        return RecordResult(Outcome.REJECTED, placed.position, "not a record of this stream")
+                return self._apply_void(void, positioned.position)
+        return RecordResult(Outcome.REJECTED, positioned.position, "not a record of this stream")
 
     def _apply_claim(self, claim: Claim, position: Position) -> RecordResult:
         if self.is_forgotten(claim.dated):
--- a/libs/state/ruddersaddle_state/configurations.py
+++ b/libs/state/ruddersaddle_state/configurations.py
@@ -26,7 +26,7 @@
     Edit,
     Entry,
     Outcome,
-    Placed,
+    PositionedRecord,
     RecordResult,
     Snapshot,
 )
@@ -49,7 +49,7 @@
         self.complete = False
         self.snapshot_seen = START
         self.result_by_id: dict[RecordId, RecordResult] = {}
-        self._waiting: list[Placed] = []
+        self._waiting: list[PositionedRecord] = []
         self._waiting_from = START
 
     def begin(self, first: Position, gap: bool) -> None:
@@ -62,28 +62,30 @@
         self._waiting = []
         self._waiting_from = first
 
-    def apply(self, placed: Placed) -> RecordResult:
+    def apply(self, positioned: PositionedRecord) -> RecordResult:
         """Fold one record and return its result."""
-        if placed.position <= self.position:
+        if positioned.position <= self.position:
             return self.result_by_id.get(
-                placed.record.id, RecordResult(Outcome.STALE, placed.position)
+                positioned.record.id, RecordResult(Outcome.STALE, positioned.position)
             )
-        if isinstance(placed.record, Snapshot):
-            return self._apply_snapshot(placed, placed.record)
+        if isinstance(positioned.record, Snapshot):
+            return self._apply_snapshot(positioned, positioned.record)
         if not self.complete:
-            self._waiting.append(placed)
-            return RecordResult(Outcome.HELD, placed.position, "waiting for a snapshot")
-        return self._apply_change(placed)
+            self._waiting.append(positioned)
+            return RecordResult(Outcome.HELD, positioned.position, "waiting for a snapshot")
+        return self._apply_change(positioned)
 
-    def _apply_snapshot(self, placed: Placed, snapshot: Snapshot) -> RecordResult:
-        self.snapshot_seen = placed.position
+    def _apply_snapshot(self, positioned: PositionedRecord, snapshot: Snapshot) -> RecordResult:
+        self.snapshot_seen = positioned.position
         if self.complete:
-            self.position = placed.position
-            return RecordResult(Outcome.ACCEPTED, placed.position)
+            self.position = positioned.position
+            return RecordResult(Outcome.ACCEPTED, positioned.position)
         if not self.adopt(snapshot):
-            return RecordResult(Outcome.STALE, placed.position, "does not cover what is missing")
-        self.position = placed.position
-        return RecordResult(Outcome.ACCEPTED, placed.position)
+            return RecordResult(
+                Outcome.STALE, positioned.position, "does not cover what is missing"
+            )
+        self.position = positioned.position
+        return RecordResult(Outcome.ACCEPTED, positioned.position)
 
     def adopt(self, snapshot: Snapshot) -> bool:
         """Take over a whole state, and fold what was read after it; return whether it was taken.
@@ -101,19 +103,21 @@
         self.position = snapshot.upto
         self.complete = True
         waiting, self._waiting = self._waiting, []
-        for placed in waiting:
-            self.apply(placed)
+        for positioned in waiting:
+            self.apply(positioned)
         return True
 
-    def _apply_change(self, placed: Placed) -> RecordResult:
-        self.position = placed.position
-        record = placed.record
+    def _apply_change(self, positioned: PositionedRecord) -> RecordResult:
+        self.position = positioned.position
+        record = positioned.record
         if not isinstance(record, Change):
-            return RecordResult(Outcome.REJECTED, placed.position, "not a record of this stream")
+            return RecordResult(
+                Outcome.REJECTED, positioned.position, "not a record of this stream"
+            )
         known = self.result_by_id.get(record.id)
         if known is not None:
             return known
-        result = self._decide(record, placed.position)
+        result = self._decide(record, positioned.position)
         self._remember(record.id, result)
         return result
 
--- a/libs/state/ruddersaddle_state/followers.py
+++ b/libs/state/ruddersaddle_state/followers.py
@@ -10,7 +10,7 @@
 from ruddersaddle_base.ids import Position, RecordId, join_position, split_offset
 
 from ruddersaddle_state.log_clients import LogClient
-from ruddersaddle_state.records import Placed, RecordResult, Stream
+from ruddersaddle_state.records import PositionedRecord, RecordResult, Stream
 
 logger = logging.getLogger(__name__)
 
@@ -28,7 +28,7 @@
     def begin(self, first: Position, gap: bool) -> None:
         """Start reading at `first`; a gap means that records before it are gone."""
 
-    def apply(self, placed: Placed) -> RecordResult:
+    def apply(self, positioned: PositionedRecord) -> RecordResult:
         """Fold one record."""
 
 
@@ -67,12 +67,12 @@
         if gap or not self.begun:
             self.fold.begin(join_position(max(page.first, start), 0), gap)
             self.begun = True
-        for placed in page.placed:
-            self._fold(placed)
+        for positioned in page.records:
+            self._fold(positioned)
         self.next_offset = max(self.next_offset, page.next)
         self.read_at = time.monotonic()
         self.reachable = True
-        if not page.placed:
+        if not page.records:
             self.reached_end = True
         return True
 
@@ -90,9 +90,9 @@
             logger.warning("Stream %s is unreachable. %s", self.stream.value, failure.detail)
         self.reachable = False
 
-    def _fold(self, placed: Placed) -> None:
-        result = self.fold.apply(placed)
-        signal = self._signal_by_id.get(placed.record.id)
+    def _fold(self, positioned: PositionedRecord) -> None:
+        result = self.fold.apply(positioned)
+        signal = self._signal_by_id.get(positioned.record.id)
         if signal is not None and not signal.ready():
             signal.send(result)
 
--- a/libs/state/ruddersaddle_state/leases.py
+++ b/libs/state/ruddersaddle_state/leases.py
@@ -2,7 +2,7 @@
 
 from ruddersaddle_base.ids import START, Incarnation, PoolId, Position
 
-from ruddersaddle_state.records import Grant, Outcome, Placed, RecordResult, Release
+from ruddersaddle_state.records import Grant, Outcome, PositionedRecord, RecordResult, Release
 
 
 class Lease:
@@ -30,18 +30,18 @@
     def begin(self, first: Position, gap: bool) -> None:
         """Start reading at `first`; leases from before a gap have lapsed, so none is missing."""
 
-    def apply(self, placed: Placed) -> RecordResult:
+    def apply(self, positioned: PositionedRecord) -> RecordResult:
         """Fold one record and return its result."""
-        if placed.position <= self.position:
-            return RecordResult(Outcome.STALE, placed.position)
-        self.position = placed.position
-        self.now = max(self.now, placed.time)
-        match placed.record:
+        if positioned.position <= self.position:
+            return RecordResult(Outcome.STALE, positioned.position)
+        self.position = positioned.position
+        self.now = max(self.now, positioned.time)
+        match positioned.record:
             case Grant() as grant:
-                return self._apply_grant(grant, placed.position)
+                return self._apply_grant(grant, positioned.position)
             case Release() as release:
-                return self._apply_release(release, placed.position)
-        return RecordResult(Outcome.REJECTED, placed.position, "not a record of this stream")
+                return self._apply_release(release, positioned.position)
+        return RecordResult(Outcome.REJECTED, positioned.position, "not a record of this stream")
 
     def _apply_grant(self, grant: Grant, position: Position) -> RecordResult:
         lease = self.by_pool.get(grant.pool)
--- a/libs/state/ruddersaddle_state/log_clients.py
+++ b/libs/state/ruddersaddle_state/log_clients.py
@@ -6,7 +6,7 @@
 from ruddersaddle_base.failures import Code, Failure, Ran, Step
 from ruddersaddle_base.ids import Position, join_position
 
-from ruddersaddle_state.records import Batch, Placed, Stream
+from ruddersaddle_state.records import Batch, PositionedRecord, Stream
 
 PAGE_MAX = 1000
 """Appends read in one page."""
@@ -39,7 +39,7 @@
 
     first: int
     next: int
-    placed: list[Placed]
+    records: list[PositionedRecord]
 
 
 class LogClient:
@@ -95,14 +95,14 @@
         return Failure(Code.LOG_UNAVAILABLE, step, self.address, detail, ran)
 
 
-def _open_batches(page: LogPage) -> list[Placed]:
-    placed = []
+def _open_batches(page: LogPage) -> list[PositionedRecord]:
+    records = []
     for record in page.records:
         batch = _decode_batch(record.data)
         for index, each in enumerate(batch.records):
             position = join_position(record.offset, index)
-            placed.append(Placed(Position(position), record.time, each))
-    return placed
+            records.append(PositionedRecord(Position(position), record.time, each))
+    return records
 
 
 def _decode_batch(data: str) -> Batch:
--- a/libs/state/ruddersaddle_state/records.py
+++ b/libs/state/ruddersaddle_state/records.py
@@ -104,7 +104,7 @@
     records: tuple[Record, ...]
 
 
-class Placed(msgspec.Struct, frozen=True):
+class PositionedRecord(msgspec.Struct, frozen=True):
     """A record read back: its position, and when the log took it, in Unix seconds."""
 
     position: Position
--- a/libs/state/ruddersaddle_state/tests/test_claims.py
+++ b/libs/state/ruddersaddle_state/tests/test_claims.py
@@ -5,7 +5,7 @@
 from ruddersaddle_base.ids import START, CallKey, Incarnation, Position, RecordId
 
 from ruddersaddle_state.claims import Claims
-from ruddersaddle_state.records import Claim, Outcome, Placed, Void
+from ruddersaddle_state.records import Claim, Outcome, PositionedRecord, Void
 
 KEY = CallKey("clinic/1")
 
@@ -25,7 +25,7 @@
         self.next = 0
 
     def apply(self, record, time=1000.0):
-        result = self.claims.apply(Placed(Position(self.next), time, record))
+        result = self.claims.apply(PositionedRecord(Position(self.next), time, record))
         self.next += 1
         return result.outcome
 
--- a/libs/state/ruddersaddle_state/tests/test_configurations.py
+++ b/libs/state/ruddersaddle_state/tests/test_configurations.py
@@ -7,7 +7,7 @@
 
 from ruddersaddle_state.configurations import Configuration
 from ruddersaddle_state.entries import Workspace, entry_key
-from ruddersaddle_state.records import Change, Edit, Outcome, Placed
+from ruddersaddle_state.records import Change, Edit, Outcome, PositionedRecord
 
 
 def change(name: str, base: Position, weight: int, workspace: str = "w") -> Change:
@@ -15,8 +15,8 @@
     return Change(RecordId(name), "op", (Edit(entry_key(value), base, value),))
 
 
-def place(offset: int, record: object) -> Placed:
-    return Placed(join_position(offset, 0), 1000.0 + offset, record)
+def place(offset: int, record: object) -> PositionedRecord:
+    return PositionedRecord(join_position(offset, 0), 1000.0 + offset, record)
 
 
 def started(first: int = 0, gap: bool = False) -> Configuration:
@@ -143,9 +143,9 @@
                 whole.apply(records[-1])
             late = started(rng.randrange(1, 10), gap=True)
             first = late._waiting_from
-            for placed in records:
-                if placed.position >= first:
-                    late.apply(placed)
+            for positioned in records:
+                if positioned.position >= first:
+                    late.apply(positioned)
             if late.complete:
                 self.assertEqual(late.snapshot().entries, whole.snapshot().entries)
 
