--- a/libs/daemon/ruddersaddle/keyed_calls.py
+++ b/libs/daemon/ruddersaddle/keyed_calls.py
@@ -166,7 +166,7 @@
         """
         self.follower.expect(record.id)
         try:
-            self.appender.post(record, self.follower.give_up)
+            self.appender.post(record, self.follower.cancel_wait)
             return self.follower.wait(record.id, timeout_s)
         finally:
             self.follower.forget(record.id)
--- a/libs/daemon/ruddersaddle/orders.py
+++ b/libs/daemon/ruddersaddle/orders.py
@@ -122,7 +122,7 @@
         began = time.monotonic()
         grant = Grant(new_record_id(), pool, self.incarnation, length_s)
         self.follower.expect(grant.id)
-        self.appender.post(grant, self.follower.give_up)
+        self.appender.post(grant, self.follower.cancel_wait)
         fate = self.follower.wait(grant.id, length_s)
         self.follower.forget(grant.id)
         if fate is None or fate.outcome is not Outcome.ACCEPTED:
--- a/libs/state/ruddersaddle_state/appenders.py
+++ b/libs/state/ruddersaddle_state/appenders.py
@@ -23,27 +23,27 @@
 PROBE_S = 0.5
 """While appends fail, an empty one is tried this often, in seconds, so that the end is noticed."""
 
-GiveUp = Callable[[RecordId], None]
+NotAppendedCallback = Callable[[RecordId], None]
 
 
-class Waiting(NamedTuple):
+class PendingAppend(NamedTuple):
     """A record that waits for its append, and whom to tell if it can't have landed."""
 
     record: Record
-    give_up: GiveUp | None
+    on_not_appended: NotAppendedCallback | None
 
 
 class Appender:
     """Group commit on one stream: the rate of appends is bounded by one over the latency."""
 
-    def __init__(self, client: LogClient, stream: Stream, gathers: bool = True) -> None:
+    def __init__(self, client: LogClient, stream: Stream, batching: bool = True) -> None:
         self.client = client
         self.stream = stream
-        self.batch_max = BATCH_MAX if gathers else 1
+        self.batch_max = BATCH_MAX if batching else 1
         self.appends = 0
         self.records = 0
         self.failing_since: float | None = None
-        self._waiting: deque[Waiting] = deque()
+        self._pending: deque[PendingAppend] = deque()
         self._wake: Signal = Signal()
 
     def start(self) -> None:
@@ -57,20 +57,20 @@
             return False
         return time.monotonic() - self.failing_since >= DOWN_AFTER_S
 
-    def post(self, record: Record, give_up: GiveUp | None = None) -> None:
+    def post(self, record: Record, on_not_appended: NotAppendedCallback | None = None) -> None:
         """Append a record with whatever else waits; its result is learned by reading it back.
 
-        `give_up` is called if the append can't have taken effect, and only then.
+        `on_not_appended` is called if the append can't have taken effect, and only then.
         """
-        self._waiting.append(Waiting(record, give_up))
-        self._wake_up()
+        self._pending.append(PendingAppend(record, on_not_appended))
+        self._signal_work()
 
     def withdraw(self, record: Record) -> None:
         """Drop a record that still waits; one that is on its way may land."""
-        kept = [each for each in self._waiting if each.record is not record]
-        self._waiting = deque(kept)
+        kept = [each for each in self._pending if each.record is not record]
+        self._pending = deque(kept)
 
-    def _wake_up(self) -> None:
+    def _signal_work(self) -> None:
         if not self._wake.ready():
             self._wake.send(None)
 
@@ -78,7 +78,7 @@
         while True:
             if not self._await_work():
                 self._append_batch()
-            while self._waiting:
+            while self._pending:
                 self._append_batch()
 
     def _await_work(self) -> bool:
@@ -92,17 +92,17 @@
         return True
 
     def _append_batch(self) -> None:
-        count = min(self.batch_max, len(self._waiting))
-        taken = [self._waiting.popleft() for _ in range(count)]
+        count = min(self.batch_max, len(self._pending))
+        taken = [self._pending.popleft() for _ in range(count)]
         batch = Batch(tuple(each.record for each in taken))
         reply = self.client.append(self.stream, batch)
         self.appends += 1
         self.records += count
-        self._note(reply)
+        self._track_failure(reply)
         if isinstance(reply, Failure) and reply.ran is Ran.NOT_RUN:
-            _give_up(taken)
+            _notify_not_appended(taken)
 
-    def _note(self, reply: int | Failure) -> None:
+    def _track_failure(self, reply: int | Failure) -> None:
         if not isinstance(reply, Failure):
             self.failing_since = None
         elif self.failing_since is None:
@@ -110,7 +110,7 @@
             self.failing_since = time.monotonic()
 
 
-def _give_up(taken: list[Waiting]) -> None:
+def _notify_not_appended(taken: list[PendingAppend]) -> None:
     for each in taken:
-        if each.give_up is not None:
-            each.give_up(each.record.id)
+        if each.on_not_appended is not None:
+            each.on_not_appended(each.record.id)
--- a/libs/state/ruddersaddle_state/followers.py
+++ b/libs/state/ruddersaddle_state/followers.py
@@ -61,7 +61,7 @@
         start = max(self.next_offset, split_offset(self.fold.position) + 1)
         page = self.client.read(self.stream, start, wait_s)
         if isinstance(page, Failure):
-            self._lose(page)
+            self._mark_unreachable(page)
             return False
         gap = page.first > start
         if gap or not self.begun:
@@ -85,7 +85,7 @@
                 return False
         return True
 
-    def _lose(self, failure: Failure) -> None:
+    def _mark_unreachable(self, failure: Failure) -> None:
         if self.reachable:
             logger.warning("Stream %s is unreachable. %s", self.stream.value, failure.detail)
         self.reachable = False
@@ -109,7 +109,7 @@
             return signal.wait()
         return None
 
-    def give_up(self, record: RecordId) -> None:
+    def cancel_wait(self, record: RecordId) -> None:
         """Wake whoever waits for a record that can't have landed."""
         signal = self._signal_by_id.get(record)
         if signal is not None and not signal.ready():
