--- a/libs/daemon/ruddersaddle/keyed_calls.py
+++ b/libs/daemon/ruddersaddle/keyed_calls.py
@@ -72,10 +72,7 @@
 
     def run(self, keyed: KeyedCall, dispatch: Dispatch, ask: AskOwner) -> Answer:
         """Run a call at most once, whoever else has its key, and return its answer."""
-        if (
-            self.claims.is_forgotten(keyed.dated)
-            or keyed.dated < time.time() - self.claims.memory_s
-        ):
+        if self.claims.is_expired(keyed.dated) or keyed.dated < time.time() - self.claims.memory_s:
             return _expired()
         if keyed.dated > time.time() + self.claims.skew_s:
             detail = "the key's date is in the future"
@@ -91,7 +88,7 @@
 
     def _can_claim(self, keyed: KeyedCall) -> bool:
         follower = self.follower
-        known = follower.reached_end and self.claims.is_known(keyed.dated)
+        known = follower.reached_end and self.claims.has_full_history(keyed.dated)
         return known and follower.reachable and not self.appender.down
 
     def _join(self, keyed: KeyedCall) -> Answer:
--- a/libs/daemon/ruddersaddle/snapshots.py
+++ b/libs/daemon/ruddersaddle/snapshots.py
@@ -53,8 +53,8 @@
     def is_due(self) -> bool:
         """Return whether the last snapshot is too many records or too long ago."""
         configuration = self.configuration
-        if configuration.snapshot_seen != self._seen:
-            self._seen = configuration.snapshot_seen
+        if configuration.last_snapshot != self._seen:
+            self._seen = configuration.last_snapshot
             self._seen_at = time.monotonic()
         if not configuration.complete or configuration.position == START:
             return False
--- a/libs/standins/ruddersaddle_standins/tests/test_claim_models.py
+++ b/libs/standins/ruddersaddle_standins/tests/test_claim_models.py
@@ -15,7 +15,7 @@
         return ClaimSearch(rule, told, TRIES, LOG_MAX).run()
 
     def test_the_rule_in_use_holds_and_lets_a_retry_run(self):
-        verdict = self.search(Rule.TOLD, Told.AFTER_VOID)
+        verdict = self.search(Rule.RETRY_TOKEN, Told.AFTER_VOID)
         self.assertEqual(verdict.broken, "")
         self.assertTrue(verdict.retry_runs)
 
--- a/libs/state/ruddersaddle_state/claims.py
+++ b/libs/state/ruddersaddle_state/claims.py
@@ -21,7 +21,7 @@
     FIRST = "first"
     READ = "read"
     FINAL = "final"
-    TOLD = "told"
+    RETRY_TOKEN = "told"
 
 
 class KeyState(msgspec.Struct):
@@ -37,19 +37,19 @@
 class Claims:
     """The state of every remembered key as of one position of the claims stream."""
 
-    def __init__(self, memory_s: float, skew_s: float, rule: Rule = Rule.TOLD) -> None:
+    def __init__(self, memory_s: float, skew_s: float, rule: Rule = Rule.RETRY_TOKEN) -> None:
         self.memory_s = memory_s
         self.skew_s = skew_s
         self.rule = rule
         self.by_key: dict[CallKey, KeyState] = {}
         self.position = START
         self.now = 0.0
-        self.known_since = 0.0
+        self.history_since = 0.0
 
     def begin(self, first: Position, gap: bool) -> None:
         """Start reading at `first`; after a gap, keys from before it can't be judged here."""
         if gap:
-            self.known_since = time.time()
+            self.history_since = time.time()
 
     def apply(self, positioned: PositionedRecord) -> RecordResult:
         """Fold one record and return its result."""
@@ -57,7 +57,7 @@
             return RecordResult(Outcome.STALE, positioned.position)
         self.position = positioned.position
         self.now = max(self.now, positioned.time)
-        self.known_since = min(self.known_since, positioned.time)
+        self.history_since = min(self.history_since, positioned.time)
         self._prune()
         match positioned.record:
             case Claim() as claim:
@@ -67,7 +67,7 @@
         return RecordResult(Outcome.REJECTED, positioned.position, "not a record of this stream")
 
     def _apply_claim(self, claim: Claim, position: Position) -> RecordResult:
-        if self.is_forgotten(claim.dated):
+        if self.is_expired(claim.dated):
             return RecordResult(Outcome.EXPIRED, position)
         state = self._state(claim.key, claim.dated)
         if state.holder == claim.id:
@@ -82,11 +82,11 @@
         return RecordResult(Outcome.ACCEPTED, position)
 
     def _is_stale(self, state: KeyState, claim: Claim) -> bool:
-        compared = self.rule in (Rule.READ, Rule.TOLD)
+        compared = self.rule in (Rule.READ, Rule.RETRY_TOKEN)
         return compared and state.version > claim.base
 
     def _apply_void(self, void: Void, position: Position) -> RecordResult:
-        if self.is_forgotten(void.dated):
+        if self.is_expired(void.dated):
             return RecordResult(Outcome.EXPIRED, position)
         state = self._state(void.key, void.dated)
         if state.holder not in (None, void.attempt):
@@ -104,13 +104,13 @@
             self.by_key[key] = state
         return state
 
-    def is_forgotten(self, dated: float) -> bool:
+    def is_expired(self, dated: float) -> bool:
         """Return whether a key of this date is past the memory; it never runs again."""
         return dated < self.now - self.memory_s
 
-    def is_known(self, dated: float) -> bool:
+    def has_full_history(self, dated: float) -> bool:
         """Return whether this host has read every record that a key of this date can have."""
-        return self.known_since == 0.0 or dated > self.known_since + self.skew_s
+        return self.history_since == 0.0 or dated > self.history_since + self.skew_s
 
     def owner_of(self, key: CallKey) -> Incarnation | None:
         """Return the process that holds a key, or None."""
@@ -125,6 +125,6 @@
         """
         while self.by_key:
             key, state = next(iter(self.by_key.items()))
-            if not self.is_forgotten(state.dated):
+            if not self.is_expired(state.dated):
                 return
             del self.by_key[key]
--- a/libs/state/ruddersaddle_state/configurations.py
+++ b/libs/state/ruddersaddle_state/configurations.py
@@ -47,10 +47,10 @@
         self._value_by_name_by_kind: dict[type, dict[str, Value]] = {}
         self.position = START
         self.complete = False
-        self.snapshot_seen = START
+        self.last_snapshot = START
         self.result_by_id: dict[RecordId, RecordResult] = {}
-        self._waiting: list[PositionedRecord] = []
-        self._waiting_from = START
+        self._held_back: list[PositionedRecord] = []
+        self._held_back_from = START
 
     def begin(self, first: Position, gap: bool) -> None:
         """Start reading at `first`; a gap means that records before it are gone."""
@@ -59,8 +59,8 @@
             return
         logger.warning("Records are missing before position %d.", first)
         self.complete = False
-        self._waiting = []
-        self._waiting_from = first
+        self._held_back = []
+        self._held_back_from = first
 
     def apply(self, positioned: PositionedRecord) -> RecordResult:
         """Fold one record and return its result."""
@@ -71,12 +71,12 @@
         if isinstance(positioned.record, Snapshot):
             return self._apply_snapshot(positioned, positioned.record)
         if not self.complete:
-            self._waiting.append(positioned)
+            self._held_back.append(positioned)
             return RecordResult(Outcome.HELD, positioned.position, "waiting for a snapshot")
         return self._apply_change(positioned)
 
     def _apply_snapshot(self, positioned: PositionedRecord, snapshot: Snapshot) -> RecordResult:
-        self.snapshot_seen = positioned.position
+        self.last_snapshot = positioned.position
         if self.complete:
             self.position = positioned.position
             return RecordResult(Outcome.ACCEPTED, positioned.position)
@@ -92,7 +92,7 @@
 
         It isn't if ours is newer, or if it leaves a gap before what was read.
         """
-        covers = split_offset(snapshot.upto) >= split_offset(self._waiting_from) - 1
+        covers = split_offset(snapshot.upto) >= split_offset(self._held_back_from) - 1
         if snapshot.upto < self.position or not covers:
             return False
         self.by_key = {}
@@ -102,8 +102,8 @@
             self._put(entry)
         self.position = snapshot.upto
         self.complete = True
-        waiting, self._waiting = self._waiting, []
-        for positioned in waiting:
+        held_back, self._held_back = self._held_back, []
+        for positioned in held_back:
             self.apply(positioned)
         return True
 
@@ -117,11 +117,11 @@
         known = self.result_by_id.get(record.id)
         if known is not None:
             return known
-        result = self._decide(record, positioned.position)
-        self._remember(record.id, result)
+        result = self._apply_edits(record, positioned.position)
+        self._record_result(record.id, result)
         return result
 
-    def _decide(self, change: Change, position: Position) -> RecordResult:
+    def _apply_edits(self, change: Change, position: Position) -> RecordResult:
         for edit in change.edits:
             reason = self.check_edit(edit)
             if reason:
@@ -176,7 +176,7 @@
                 return "expected callers' keys that no other workspace has"
         return None
 
-    def _remember(self, record: RecordId, result: RecordResult) -> None:
+    def _record_result(self, record: RecordId, result: RecordResult) -> None:
         self.result_by_id[record] = result
         if len(self.result_by_id) > RESULTS_MAX:
             del self.result_by_id[next(iter(self.result_by_id))]
--- a/libs/state/ruddersaddle_state/tests/test_claims.py
+++ b/libs/state/ruddersaddle_state/tests/test_claims.py
@@ -68,8 +68,8 @@
         self.claims.begin(Position(5), True)
         self.next = 5
         self.apply(claim("z", dated=2000.0), time=2000.0)
-        self.assertFalse(self.claims.is_known(2000.5))
-        self.assertTrue(self.claims.is_known(2001.5))
+        self.assertFalse(self.claims.has_full_history(2000.5))
+        self.assertTrue(self.claims.has_full_history(2001.5))
 
 
 if __name__ == "__main__":
--- a/libs/state/ruddersaddle_state/tests/test_configurations.py
+++ b/libs/state/ruddersaddle_state/tests/test_configurations.py
@@ -142,7 +142,7 @@
                 records.append(place(offset, record))
                 whole.apply(records[-1])
             late = started(rng.randrange(1, 10), gap=True)
-            first = late._waiting_from
+            first = late._held_back_from
             for positioned in records:
                 if positioned.position >= first:
                     late.apply(positioned)
