--- a/libs/serving/ruddersaddle_serving/entry_hosts.py
+++ b/libs/serving/ruddersaddle_serving/entry_hosts.py
@@ -71,16 +71,16 @@
 KEY_AGE_MARGIN_S = 0.3
 """A request with a key leaves at the latest this long before the bound on keys taken away, for what
 lies between the check and the last byte sent."""
-HOUSEKEEPING_S = 1.0
+MAINTENANCE_INTERVAL_S = 1.0
 ACCEPT_AFTER_STOP_S = 2.6
 """New connections are taken this long after the signal to stop: the balancer asks each second and
 needs two misses."""
 GRACE_MARGIN_S = 0.7
 """A host ends by itself this long before the platform would kill it, counted from the signal."""
-STOP_STEP_S = 0.05
-STOP_LOOK_S = 0.25
+DRAIN_POLL_S = 0.05
+STOP_CHECK_S = 0.25
 """Pause between looks for a planned stop; readiness ends at once, with the signal itself."""
-BUDGET_SHARE = 0.75
+RETRY_BUDGET_SHARE = 0.75
 """Share of the installation's retry bound that all hosts together use: hosts see unequal shares of
 the requests, and the bound counts them all."""
 
@@ -113,19 +113,19 @@
         self.signals = StopSignals()
         self.stall_monitor = StallMonitor()
         self.histograms = Histograms()
-        self.link = StoreLink()
+        self.store_link = StoreLink()
         self.publications = Publications()
         self.upstreams = UpstreamList()
         store.eras.return_listeners.append(self.upstreams.note_copy)
-        self.entries = UpstreamFollower(store, self.link, self.upstreams)
+        self.upstream_follower = UpstreamFollower(store, self.store_link, self.upstreams)
         self.trackers = Trackers()
         self.hosts = self._make_hosts(settings)
-        self.shares = UpstreamShares(self.hosts, self.publications, self.upstreams)
-        self.kept = KeptParts(engines)
-        self.budget = RetryBudget(settings.number("bounds.retry_share") * BUDGET_SHARE)
-        self.publications.listeners += [self.trackers.take_table, self.kept.take_table]
+        self.upstream_shares = UpstreamShares(self.hosts, self.publications, self.upstreams)
+        self.cached_parts = KeptParts(engines)
+        self.retry_budget = RetryBudget(settings.number("bounds.retry_share") * RETRY_BUDGET_SHARE)
+        self.publications.listeners += [self.trackers.take_table, self.cached_parts.take_table]
         self.crash_records = CrashRecords()
-        self.crashes = CrashWatch(
+        self.crash_watch = CrashWatch(
             engines,
             self.upstreams,
             self.crash_records,
@@ -134,7 +134,7 @@
         )
         self._build_request_path(wire)
         self._build_tasks()
-        engines.report_listeners.append(self._take_report)
+        engines.report_listeners.append(self._apply_report)
 
     @classmethod
     def from_settings(
@@ -151,7 +151,7 @@
         self.forwarder.placement.version_bound_s = self.weights_s
         self.rollouts.weights_s = self.weights_s
         self.rollouts.lease.lease_s = settings.number("bounds.lease_ms") / MS_PER_S
-        self.budget.share = settings.number("bounds.retry_share") * BUDGET_SHARE
+        self.retry_budget.share = settings.number("bounds.retry_share") * RETRY_BUDGET_SHARE
 
     @property
     def key_age_max_s(self) -> float:
@@ -186,17 +186,17 @@
             self.publications,
             self.upstreams,
             self.trackers,
-            self.kept,
-            self.shares,
+            self.cached_parts,
+            self.upstream_shares,
         )
         self.forwarder = Forwarder(
             placement,
             wire,
             self.publications,
-            self.budget,
+            self.retry_budget,
             self.key_age_max_s,
-            self._tell_notice,
-            self.crashes,
+            self._broadcast_notice,
+            self.crash_watch,
         )
         self.front = Front(wire, self.publications, self.forwarder, self.histograms)
 
@@ -208,12 +208,14 @@
             self.publications,
             self.upstreams,
             self.trackers,
-            self.kept,
+            self.cached_parts,
             self.crash_records,
         )
         self.forwarder.placement.belief_lag_s = lambda: self.neighbours.loads.lag_s
-        self.probes = Probes(self.neighbours.hosts, self.trackers, self.engines, self._tell_notice)
-        self.parts = PartRelay(self.kept, self.neighbours)
+        self.probes = Probes(
+            self.neighbours.hosts, self.trackers, self.engines, self._broadcast_notice
+        )
+        self.part_relay = PartRelay(self.cached_parts, self.neighbours)
         lease_s = settings.number("bounds.lease_ms") / MS_PER_S
         lease = FenceLease(self.store, self.incarnation, lease_s)
         self.rollouts = WeightRollouts(
@@ -225,18 +227,18 @@
             self.neighbours,
             self.engines,
         )
-        self.replaced = ReplacedParts(
-            self.publications, self.upstreams, self.trackers, self.neighbours, self.kept
+        self.replaced_parts = ReplacedParts(
+            self.publications, self.upstreams, self.trackers, self.neighbours, self.cached_parts
         )
 
-    def _take_report(self, upstream: UpstreamId, report: SelfReport) -> None:
+    def _apply_report(self, upstream: UpstreamId, report: SelfReport) -> None:
         """Take what an upstream says of itself in its answer to a call of this host's own."""
         tracker = self.trackers.by_id.get(upstream)
         notice = None if tracker is None else tracker.hear(report, None, is_ordinary=False)
         if notice is not None:
-            self._tell_notice(notice)
+            self._broadcast_notice(notice)
 
-    def _tell_notice(self, notice: Notice) -> None:
+    def _broadcast_notice(self, notice: Notice) -> None:
         self.neighbours.loads.tell(notice)
 
     # Running
@@ -255,16 +257,16 @@
     def _serve(self) -> None:
         limit_threads()
         start_collecting()
-        signal.signal(signal.SIGTERM, self._take_signal)
-        signal.signal(signal.SIGINT, self._take_signal)
+        signal.signal(signal.SIGTERM, self._handle_signal)
+        signal.signal(signal.SIGINT, self._handle_signal)
         callers = self._listen("listen.callers", self.front, CallerProtocol)
         self._listen("listen.ready", self._serve_ready, eventlet.wsgi.HttpProtocol)
         self._listen("listen.metrics", self._serve_metrics, eventlet.wsgi.HttpProtocol)
         self._start_tasks()
         logger.info("Host %s has started.", self.incarnation, extra={"pid": os.getpid()})
         while not self.stopping:
-            eventlet.sleep(STOP_LOOK_S)
-        self._finish(callers)
+            eventlet.sleep(STOP_CHECK_S)
+        self._drain(callers)
 
     def _listen(self, name: str, app: Any, protocol: type) -> ServedPort:
         host, _, port = self.settings.text(name).rpartition(":")
@@ -286,29 +288,29 @@
         return ServedPort(listener, server, pool)
 
     def _start_tasks(self) -> None:
-        operator = OperatorFollower(self.store, self.link, self.publications)
+        operator = OperatorFollower(self.store, self.store_link, self.publications)
         is_reader = self.neighbours.hosts.is_reader
         spawn_forever("operator", operator.run, OPERATOR_WAIT_S, 0.0, is_reader)
-        spawn_forever("entries", self.entries.run, 0.0, UPSTREAM_PAUSE_S, is_reader)
+        spawn_forever("entries", self.upstream_follower.run, 0.0, UPSTREAM_PAUSE_S, is_reader)
         crashes = CrashFollower(self.store, self.neighbours.crashes)
         spawn_forever("crashes", crashes.run, CRASH_WAIT_S, 0.0, is_reader)
         self.neighbours.start()
         self.probes.start()
-        self.parts.start()
-        self.kept.start()
+        self.part_relay.start()
+        self.cached_parts.start()
         self.rollouts.start()
-        self.replaced.start()
-        spawn_forever("housekeeping", self._keep_house)
+        self.replaced_parts.start()
+        spawn_forever("housekeeping", self._run_maintenance)
 
-    def _keep_house(self) -> None:
+    def _run_maintenance(self) -> None:
         while True:
             self.trackers.keep_only(set(self.upstreams.by_id))
             self.trackers.close_expired()
-            slack = self.settings.number("bounds.retry_slack") * BUDGET_SHARE
-            self.budget.most = max(1.0, slack / self.neighbours.hosts.count)
+            slack = self.settings.number("bounds.retry_slack") * RETRY_BUDGET_SHARE
+            self.retry_budget.most = max(1.0, slack / self.neighbours.hosts.count)
             slept_at = clocks.now_s()
-            eventlet.sleep(HOUSEKEEPING_S)
-            self.stall_monitor.check(slept_at, HOUSEKEEPING_S)
+            eventlet.sleep(MAINTENANCE_INTERVAL_S)
+            self.stall_monitor.check(slept_at, MAINTENANCE_INTERVAL_S)
 
     # Readiness, metrics
 
@@ -339,26 +341,42 @@
             ("store_returns", "its returns from a copy", self.store.eras.returns),
             ("configuration_awaited", "versions that the store lost", self._awaited_count()),
             ("upstreams", "entries of upstreams", len(self.upstreams.by_id)),
-            ("upstreams_cold", "upstreams that bear few requests yet", self.shares.count_cold()),
+            (
+                "upstreams_cold",
+                "upstreams that bear few requests yet",
+                self.upstream_shares.count_cold(),
+            ),
             ("upstreams_limited", "upstreams that name a limit", self._limited_count()),
             ("upstreams_leaving", "upstreams that take no new work", self._leaving_count()),
-            ("upstreams_resting", "upstreams that want nothing now", self._resting_count()),
-            ("upstream_cold_sends", "requests sent to cold upstreams", self.shares.cold_sent),
-            ("upstream_limited_sends", "requests sent to limited ones", self.shares.limited_sent),
+            ("upstreams_resting", "upstreams that want nothing now", self._backing_off_count()),
+            (
+                "upstream_cold_sends",
+                "requests sent to cold upstreams",
+                self.upstream_shares.cold_sent,
+            ),
+            (
+                "upstream_limited_sends",
+                "requests sent to limited ones",
+                self.upstream_shares.limited_sent,
+            ),
             ("halls_evacuated", "halls whose upstreams get nothing", self._evacuated_count()),
-            ("upstream_entries_unusable", "entries read that name none", self.entries.unusable),
+            (
+                "upstream_entries_unusable",
+                "entries read that name none",
+                self.upstream_follower.unusable,
+            ),
             ("upstream_connections_opened", "connections opened", opened),
             ("ready", "1 if the balancer should send callers here", self.is_ready()),
             ("hosts_known", "hosts, this one included", self.neighbours.hosts.count),
             ("peer_sent_bytes", "bytes sent to peers", self.neighbours.peers.sent_bytes),
-            ("upstreams_silent", "upstreams that nobody hears of", self._silent_count()),
+            ("upstreams_silent", "upstreams that nobody hears of", self._unresponsive_count()),
             ("upstream_probes", "probes of silent upstreams", self.probes.count),
             ("crash_suspects", "requests under which an upstream ended", suspects),
             ("crash_records_shared", "of these, known to all hosts", len(records.shared())),
             ("crash_suspects_cleared", "suspects that ended whole", records.cleared),
             ("stood_still_seconds", "standstill since the start", self.stall_monitor.total_s),
         )
-        budget = {"spent": self.budget.spent, "denied": self.budget.denied}
+        budget = {"spent": self.retry_budget.spent, "denied": self.retry_budget.denied}
         lines = format_gauges(gauges)
         lines += format_counters("answers", "answers by status", self.front.counts)
         lines += format_counters("requests_ended", "requests by how they ended", self.front.ends)
@@ -366,9 +384,11 @@
         lines += format_labelled("requests_by_size", "prompts by size and end", by_size)
         lines += format_counters("dropped_writes", "log lines, other texts", count_dropped())
         lines += format_counters("retries", "retries by outcome", budget)
-        lines += format_counters("crashes", "broken runs and what followed", self.crashes.counts)
+        lines += format_counters(
+            "crashes", "broken runs and what followed", self.crash_watch.counts
+        )
         lines += format_counters("store_calls", "calls to the store", self.store.calls_by_kind)
-        lines += format_counters("contexts", "kept context by action", self.kept.counts)
+        lines += format_counters("contexts", "kept context by action", self.cached_parts.counts)
         lines += format_counters("orders", "orders to engines", self.rollouts.counts)
         lines += format_histograms(self.histograms)
         return "\n".join(lines) + "\n"
@@ -386,7 +406,7 @@
             return 0
         return max(0, publications.version - publications.stored_version)
 
-    def _resting_count(self) -> int:
+    def _backing_off_count(self) -> int:
         return sum(each.reported.rest_s > 0 for each in self.trackers.by_id.values())
 
     def _leaving_count(self) -> int:
@@ -395,12 +415,12 @@
     def _limited_count(self) -> int:
         return sum(each.reported.rate_limit.is_named for each in self.trackers.by_id.values())
 
-    def _silent_count(self) -> int:
+    def _unresponsive_count(self) -> int:
         return sum(each.is_silent for each in self.trackers.by_id.values())
 
     # The planned stop
 
-    def _take_signal(self, number: int, _frame: Any) -> None:
+    def _handle_signal(self, number: int, _frame: Any) -> None:
         """Begin the planned stop.
 
         A handler runs in the event loop, at any moment: it sets flags and does nothing else. The
@@ -411,9 +431,9 @@
         self.stopping = True
         self.front.closing = True
         self.rollouts.stopping = True
-        self.replaced.stopping = True
+        self.replaced_parts.stopping = True
 
-    def _finish(self, callers: ServedPort) -> None:
+    def _drain(self, callers: ServedPort) -> None:
         """Serve on until the balancer has noticed, then until no request is under way."""
         fields = {"active": self.front.active, **self.signals.fields()}
         logger.info("Planned stop begins.", extra=fields)
@@ -429,7 +449,7 @@
         # The runner ends after its last connection. Requests not read yet, and the last bytes of a
         # stream, don't count as active.
         while (self.front.active or not callers.server.dead) and clocks.now_s() < latest:
-            eventlet.sleep(STOP_STEP_S)
+            eventlet.sleep(DRAIN_POLL_S)
         fields = cut_fields(self.front.under_way())
         level = logging.WARNING if fields["cut"] else logging.INFO
         fields["signals"] = self.signals.count
