--- a/libs/serving/ruddersaddle_serving/crash_records.py
+++ b/libs/serving/ruddersaddle_serving/crash_records.py
@@ -1,15 +1,15 @@
-"""Which requests crash the upstreams that run them, by what all hosts have seen.
+"""Identifies requests that crash the upstreams running them, from the crashes that all hosts saw.
 
-Load pattern: one request ends each upstream that begins it, and comes again at any host, several
-copies at once. All other runs end with each upstream, so that every crash has dozens of suspects.
-What tells the cause from the others: it is in every crash, and never ends whole. So:
+Such a request crashes every upstream that starts it, and is retried at any host, several copies at
+once. Every other run on the upstream is cut too, so that each crash has dozens of suspects. The
+cause is the request that is part of every crash and never completes. Therefore:
 
-- A request is refused once it was in the crashes of `CRASHES_MAX` instances of upstreams.
-- One that ends whole is cleared; one that ended whole just before a crash is no suspect of it,
-  which keeps requests that everybody sends out of it.
-- Crashes that a refused request explains count against nobody else.
+- A request is refused once `CRASHES_MAX` instances of upstreams have crashed while running it.
+- A request that completes is cleared; one that completed just before a crash is not a suspect of
+  it, so that requests which many callers send are not refused.
+- Crashes attributed to a refused request do not count against any other request.
 
-Nothing here reads a clock. Moments are Unix times in ms, since records outlive hosts.
+Nothing here reads a clock. Timestamps are Unix times in ms, since records outlive hosts.
 """
 
 import logging
@@ -25,56 +25,57 @@
 logger = logging.getLogger(__name__)
 
 CRASHES_MAX = 3
-"""Crashes after which a request is refused. Fewer would take bystanders for the cause: of 158
-prompts whose engine crashed under them in one day, 43 met two or more; one was the cause."""
+"""Crashes after which a request is refused. Fewer would refuse bystanders: of 158 requests that
+were running on engines as these crashed, 43 were in two or more crashes, and one was the cause."""
 SHARED_MIN = 2
-"""Crashes from which on a record is kept in the store. Most suspects are in one crash only; a
-request that hosts know of one by one gets there with its next crash."""
+"""Crashes from which on a record is written to the store. Most suspects are in a single crash; a
+request of which several hosts know one crash each is written after its next crash."""
 REFUSAL_MS = 600_000
-"""How long a request is refused after its last crash, so that one that a new release can run gets
-its chance; with each further crash it is twice as long."""
+"""How long a request is refused after its last crash; it doubles with each further crash. It ends,
+so that a request which a new release can run is admitted again."""
 REFUSAL_MAX_MS = 86_400_000
 RECENT_COMPLETION_MS = 2000
-"""A request that ended whole so shortly before a crash did not cause it. Longer would hide one that
-has only begun to crash upstreams from its first crashes."""
+"""A request that completed this recently before a crash is not a suspect of it. A longer time would
+miss the first crashes of a request that has only begun to crash upstreams."""
 SUSPECTS_MAX = 4096
-"""Requests that are remembered: 32 engines with 128 runs each; 0.6 MB of memory (tracemalloc)."""
+"""Requests that are remembered: the runs of 32 engines with 128 runs each; 0.6 MB of memory."""
 INSTANCES_MAX = 12
-"""Crashes of one request that are remembered; more make its refusal no longer."""
+"""Crashes of one request that are remembered; further ones do not extend its refusal."""
 CLEARED_MS = 60_000
-"""How long it is told that a request was cleared; hosts ask each other every 0.6 s."""
+"""How long a host reports that a request was cleared; hosts poll each other every 0.6 s."""
 
 
 class Crash(msgspec.Struct, frozen=True, array_like=True):
-    """One instance of an upstream that ended without notice, and what it ran or had queued."""
+    """An upstream instance that ended without notice, and the requests it ran or had queued."""
 
     instance: UpstreamStart
     fingerprints: tuple[Fingerprint, ...]
 
 
 class CrashRecord(msgspec.Struct, frozen=True, array_like=True):
-    """The instances of upstreams that ended under one request."""
+    """The upstream instances that crashed while running one request."""
 
     fingerprint: Fingerprint
     instances: tuple[UpstreamStart, ...]
     last_ms: int
-    """When the last of them ended."""
+    """Time of the last crash."""
 
     @property
     def is_refusal(self) -> bool:
-        """Whether these are enough to refuse the request."""
+        """Whether there are enough crashes to refuse the request."""
         return len(self.instances) >= CRASHES_MAX
 
     @property
     def until_ms(self) -> int:
-        """Until when the request is refused, or suspected."""
+        """When the refusal, or the suspicion, of the request ends."""
         doublings = max(0, len(self.instances) - CRASHES_MAX)
         return self.last_ms + min(REFUSAL_MAX_MS, REFUSAL_MS << doublings)
 
     def is_expired(self, now_ms: int) -> bool:
-        """Return whether nothing follows from it any more.
+        """Return whether the record can be dropped.
 
-        A request that was refused is remembered as long again: its next crash refuses it at once.
+        A refused request is remembered for as long again after its refusal, so that its next crash
+        refuses it at once.
         """
         spare_ms = self.until_ms - self.last_ms if self.is_refusal else 0
         return now_ms >= self.until_ms + spare_ms
@@ -82,32 +83,33 @@
     def with_instances(self, instances: Iterable[UpstreamStart], last_ms: int) -> "CrashRecord":
         """Return the record with further crashes.
 
-        Which ones are kept doesn't hang on the order in which hosts heard of them, so that all of
-        them come to the same record.
+        Which crashes are kept does not depend on the order in which a host receives them, so that
+        all hosts converge on the same record.
         """
         kept = tuple(sorted({*self.instances, *instances}, key=str)[:INSTANCES_MAX])
         return CrashRecord(self.fingerprint, kept, max(self.last_ms, last_ms))
 
 
 class CrashRecords:
-    """The records of this host, from its own crashes and from what others told."""
+    """The records of this host, from crashes it saw and from those that others reported."""
 
     def __init__(self) -> None:
         self.by_fingerprint: dict[Fingerprint, CrashRecord] = {}
         self.revision = random.getrandbits(REVISION_BITS)
-        """Grows with each change of what is shared; begins anywhere: two processes differ."""
+        """Grows with each change of the shared records. It starts at a random number, so that two
+        processes do not report the same revision."""
         self.cleared = 0
-        """Suspects that ended whole."""
+        """Count of suspects that were cleared because they completed."""
         self._completed_at: dict[Fingerprint, int] = {}
-        """Requests that ended whole a moment ago, the latest last."""
+        """Requests that completed within `RECENT_COMPLETION_MS`, the latest last."""
         self._cleared_at: dict[Fingerprint, int] = {}
         self._cause_by_instance: dict[UpstreamStart, Fingerprint] = {}
-        """Starts whose end a refused request explains."""
+        """Instances whose crash is attributed to a refused request."""
 
-    # What was seen
+    # Observations
 
     def record_crash(self, crash: Crash, now_ms: int) -> list[CrashRecord]:
-        """Take a crash; return the records that it changed."""
+        """Add a crash to its suspects' records; return the records that changed."""
         suspects = self._suspects(crash, now_ms)
         changed = [self._extend(each, (crash.instance,), now_ms) for each in suspects]
         self._attribute_crashes(changed)
@@ -124,7 +126,7 @@
         return found if cause is None else [each for each in found if each == cause]
 
     def merge(self, record: CrashRecord, now_ms: int) -> CrashRecord:
-        """Take what another host or the store has of a request; return all that is known."""
+        """Merge a record of another host or of the store; return the merged record."""
         fingerprint = record.fingerprint
         cleared_ms = self._cleared_at.get(fingerprint)
         is_stale = cleared_ms is not None and record.last_ms <= cleared_ms
@@ -141,19 +143,19 @@
         return merged
 
     def record_completion(self, fingerprint: Fingerprint, now_ms: int) -> bool:
-        """Take that a run of a request ended whole; return whether it was suspected."""
+        """Record that a run of a request completed; return whether the request was a suspect."""
         self._completed_at.pop(fingerprint, None)
         self._completed_at[fingerprint] = now_ms
         self._forget_old_completions(now_ms)
         return self.clear(fingerprint, now_ms)
 
     def completed_recently(self, fingerprint: Fingerprint, now_ms: int) -> bool:
-        """Return whether a run of a request ended whole here a moment ago."""
+        """Return whether a run of a request completed here within `RECENT_COMPLETION_MS`."""
         self._forget_old_completions(now_ms)
         return fingerprint in self._completed_at
 
     def clear(self, fingerprint: Fingerprint, now_ms: int) -> bool:
-        """Drop what is held against a request; return whether there was something."""
+        """Drop the record of a request; return whether there was one."""
         record = self.by_fingerprint.get(fingerprint)
         if record is None:
             return False
@@ -161,10 +163,10 @@
         self.cleared += 1
         self._cleared_at[fingerprint] = now_ms
         if record.is_refusal:
-            logger.info("Request %s is taken again: a run of it ended whole.", fingerprint)
+            logger.info("Request %s is admitted again: a run of it completed.", fingerprint)
         return True
 
-    # What follows from it
+    # Decisions
 
     def find_refusal(self, fingerprint: Fingerprint, now_ms: int) -> CrashRecord | None:
         """Return the record for which a request is refused now, or None."""
@@ -174,21 +176,21 @@
         return record
 
     def count(self, fingerprint: Fingerprint) -> int:
-        """Return how many instances are known to have ended under a request."""
+        """Return how many instances are known to have crashed while running a request."""
         record = self.by_fingerprint.get(fingerprint)
         return 0 if record is None else len(record.instances)
 
     def shared(self) -> tuple[CrashRecord, ...]:
-        """Return the records that all hosts have to know."""
+        """Return the records that are shared with all hosts."""
         records = self.by_fingerprint.values()
         return tuple(each for each in records if len(each.instances) >= SHARED_MIN)
 
     def recently_cleared(self) -> tuple[Fingerprint, ...]:
-        """Return the requests that were cleared a short while ago."""
+        """Return the requests that were cleared within `CLEARED_MS`."""
         return tuple(self._cleared_at)
 
     def sweep(self, now_ms: int) -> None:
-        """Drop what is over."""
+        """Drop expired records."""
         for record in [each for each in self.by_fingerprint.values() if each.is_expired(now_ms)]:
             self._drop(record)
         self._cleared_at = {
@@ -204,7 +206,7 @@
     ) -> CrashRecord:
         known = self.by_fingerprint.get(fingerprint)
         if known is None:
-            self._make_room()
+            self._evict()
             known = CrashRecord(fingerprint, (), last_ms)
         record = known.with_instances(instances, last_ms)
         self.by_fingerprint[fingerprint] = record
@@ -213,11 +215,11 @@
             self.revision += 1
         if record.is_refusal and not known.is_refusal:
             names = ", ".join(map(str, record.instances))
-            logger.warning("Request %s is refused: under it ended %s.", fingerprint, names)
+            logger.warning("Request %s is refused: it crashed %s.", fingerprint, names)
         return record
 
     def _attribute_crashes(self, records: Iterable[CrashRecord]) -> None:
-        """Hold crashes under refused requests against nobody else."""
+        """Attribute the crashes of refused requests to them and remove them from other records."""
         refusals = [each for each in records if each.is_refusal]
         new = {
             instance: each.fingerprint
@@ -229,18 +231,18 @@
             return
         self._cause_by_instance.update(new)
         for record in list(self.by_fingerprint.values()):
-            left = tuple(instance for instance in record.instances if instance not in new)
-            if record.is_refusal or left == record.instances:
+            remaining = tuple(instance for instance in record.instances if instance not in new)
+            if record.is_refusal or remaining == record.instances:
                 continue
-            if left:
+            if remaining:
                 self.by_fingerprint[record.fingerprint] = msgspec.structs.replace(
-                    record, instances=left
+                    record, instances=remaining
                 )
             else:
                 self._drop(record)
 
-    def _make_room(self) -> None:
-        """Forget the oldest suspect of one crash, or else the oldest of all."""
+    def _evict(self) -> None:
+        """Drop the oldest record of a single crash, or else the oldest of all."""
         if len(self.by_fingerprint) < SUSPECTS_MAX:
             return
         records = self.by_fingerprint.values()
@@ -256,7 +258,7 @@
                 del self._cause_by_instance[instance]
 
     def _forget_old_completions(self, now_ms: int) -> None:
-        """Forget whole runs that are too long ago; the oldest come first."""
+        """Drop completions older than `RECENT_COMPLETION_MS`; the oldest come first."""
         while self._completed_at:
             fingerprint, at_ms = next(iter(self._completed_at.items()))
             if now_ms - at_ms < RECENT_COMPLETION_MS:
--- a/libs/serving/ruddersaddle_serving/tests/test_crash_records.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_crash_records.py
@@ -1,4 +1,4 @@
-"""Tests of which request is taken for the cause of crashes, and for how long."""
+"""Tests of which request is identified as the cause of crashes, and how long it is refused."""
 
 import unittest
 
@@ -21,7 +21,7 @@
 
 
 def instance(number: int) -> UpstreamStart:
-    """Return a start of an upstream."""
+    """Return an upstream instance."""
     return UpstreamStart(UpstreamId(f"e-{number}"), 1000 + number)
 
 
@@ -41,26 +41,26 @@
         for number in range(CRASHES_MAX):
             self.crash(first + number, fingerprint)
 
-    def test_third_start_that_ends_refuses_the_request(self) -> None:
+    def test_third_crashed_instance_refuses_the_request(self) -> None:
         self.crash(0, BAD)
         self.crash(1, BAD)
         self.assertFalse(self.is_refused(BAD))
         self.crash(2, BAD)
         self.assertTrue(self.is_refused(BAD))
 
-    def test_one_end_told_by_three_hosts_counts_once(self) -> None:
+    def test_one_crash_reported_by_three_hosts_counts_once(self) -> None:
         for _ in range(CRASHES_MAX):
             self.crash(0, BAD)
         self.assertFalse(self.is_refused(BAD))
 
-    def test_later_start_under_the_same_id_counts_by_itself(self) -> None:
+    def test_later_instance_with_the_same_id_counts_separately(self) -> None:
         for born_ms in range(CRASHES_MAX):
             crash = Crash(UpstreamStart(UpstreamId("e"), born_ms), (BAD,))
             self.records.record_crash(crash, self.now_ms)
         self.assertTrue(self.is_refused(BAD))
 
-    def test_bystander_that_ends_whole_is_cleared(self) -> None:
-        """Of eight prompts in three crashes or more of one day, seven ended whole."""
+    def test_bystander_that_completes_is_cleared(self) -> None:
+        """Most requests in three crashes or more are bystanders: seven of eight completed."""
         self.crash(0, BAD, OTHER)
         self.crash(1, BAD, OTHER)
         self.assertTrue(self.records.record_completion(OTHER, self.now_ms))
@@ -68,27 +68,27 @@
         self.assertTrue(self.is_refused(BAD))
         self.assertFalse(self.is_refused(OTHER))
 
-    def test_request_that_everybody_sends_is_in_each_crash_and_no_suspect(self) -> None:
+    def test_common_request_in_each_crash_is_no_suspect(self) -> None:
         for number in range(CRASHES_MAX):
             self.records.record_completion(COMMON, self.now_ms)
             self.crash(number, COMMON, BAD)
         self.assertFalse(self.is_refused(COMMON))
         self.assertTrue(self.is_refused(BAD))
 
-    def test_three_crashes_within_a_second_of_its_whole_run_refuse_no_common_request(self) -> None:
+    def test_three_crashes_within_a_second_of_its_completion_refuse_no_common_request(self) -> None:
         self.records.record_completion(COMMON, self.now_ms)
         for number in range(CRASHES_MAX):
             self.crash(number, COMMON, BAD)
         self.assertFalse(self.is_refused(COMMON))
         self.assertTrue(self.is_refused(BAD))
 
-    def test_request_that_begins_to_crash_upstreams_is_found_all_the_same(self) -> None:
+    def test_request_that_begins_to_crash_upstreams_is_refused(self) -> None:
         self.records.record_completion(BAD, self.now_ms)
         self.now_ms += RECENT_COMPLETION_MS
         self.refuse(BAD)
         self.assertTrue(self.is_refused(BAD))
 
-    def test_crashes_that_a_refused_request_explains_count_against_nobody(self) -> None:
+    def test_crashes_attributed_to_a_refused_request_count_against_no_other(self) -> None:
         self.crash(0, BAD)
         self.crash(1, BAD, OTHER)
         self.crash(2, BAD, OTHER)
@@ -99,22 +99,22 @@
         self.crash(6, OTHER)
         self.assertTrue(self.is_refused(OTHER))
 
-    def test_other_hosts_report_of_an_explained_crash_counts_against_nobody(self) -> None:
+    def test_report_of_an_attributed_crash_counts_against_no_other(self) -> None:
         self.refuse(BAD)
         self.crash(2, OTHER)
         self.assertEqual(self.records.count(OTHER), 0)
 
-    def test_told_record_of_explained_crashes_counts_against_nobody(self) -> None:
+    def test_received_record_of_attributed_crashes_counts_against_no_other(self) -> None:
         self.refuse(BAD)
         self.records.merge(CrashRecord(OTHER, (instance(0), instance(1)), self.now_ms), self.now_ms)
         self.assertEqual(self.records.count(OTHER), 0)
 
-    def test_hosts_that_saw_different_crashes_find_the_cause_together(self) -> None:
+    def test_crashes_seen_by_different_hosts_are_merged(self) -> None:
         self.crash(0, BAD)
         self.records.merge(CrashRecord(BAD, (instance(1), instance(2)), self.now_ms), self.now_ms)
         self.assertTrue(self.is_refused(BAD))
 
-    def test_refusal_lasts_twice_as_long_with_each_further_crash(self) -> None:
+    def test_refusal_doubles_with_each_further_crash(self) -> None:
         self.refuse(BAD)
         self.now_ms += REFUSAL_MS
         self.assertFalse(self.is_refused(BAD))
@@ -124,7 +124,7 @@
         self.now_ms += REFUSAL_MS
         self.assertFalse(self.is_refused(BAD))
 
-    def test_request_that_a_new_release_runs_is_taken_again(self) -> None:
+    def test_request_that_a_new_release_runs_is_admitted_again(self) -> None:
         self.refuse(BAD)
         self.now_ms += REFUSAL_MS
         self.records.record_completion(BAD, self.now_ms)
@@ -132,7 +132,7 @@
         self.crash(3, BAD)
         self.assertFalse(self.is_refused(BAD))
 
-    def test_old_records_are_forgotten(self) -> None:
+    def test_expired_records_are_dropped(self) -> None:
         self.refuse(BAD)
         self.crash(3, OTHER)
         self.now_ms += REFUSAL_MS
@@ -144,7 +144,7 @@
         self.assertEqual(self.records.by_fingerprint, {})
         self.assertEqual(self.records._cause_by_instance, {})
 
-    def test_flood_of_crashing_requests_takes_bounded_memory(self) -> None:
+    def test_flood_of_crashing_requests_uses_bounded_memory(self) -> None:
         self.refuse(BAD)
         for number in range(SUSPECTS_MAX + 10):
             self.crash(100 + number, Fingerprint(f"f-{number}"))
@@ -154,7 +154,7 @@
             self.crash(9000 + number, BAD)
         self.assertEqual(self.records.count(BAD), INSTANCES_MAX)
 
-    def test_stale_word_of_a_cleared_request_is_passed_over(self) -> None:
+    def test_stale_record_of_a_cleared_request_is_ignored(self) -> None:
         record = CrashRecord(OTHER, (instance(0), instance(1)), self.now_ms)
         self.records.merge(record, self.now_ms)
         self.now_ms += 1
