--- a/libs/serving/ruddersaddle_serving/crash_shares.py
+++ b/libs/serving/ruddersaddle_serving/crash_shares.py
@@ -1,8 +1,8 @@
-"""How hosts share which requests crash upstreams.
+"""Shares between hosts which requests crash upstreams.
 
-Messages between hosts carry each crash within some milliseconds, but may be dropped without a word,
-and a host may be cut off from the others. What counts is therefore kept in the platform's store as
-well: a host needs nothing but its way to the store to know whom to refuse.
+Messages between hosts carry each crash within milliseconds, but they may be dropped silently, and a
+host may be partitioned from the others. The records are therefore written to the platform's store
+as well: a host that reaches the store knows which requests to refuse.
 """
 
 import logging
@@ -33,25 +33,25 @@
 logger = logging.getLogger(__name__)
 
 SEND_DELAY_S = 0.01
-"""Pause between messages about crashes: one crash ends runs of many requests at a time."""
+"""Delay in which crashes are collected into one message: a crash cuts many runs at a time."""
 WRITE_PAUSE_S = 0.2
-"""Least pause between writes of one host. What has to be written meanwhile goes in one call."""
+"""Shortest pause between writes of one host; records that change meanwhile go in one call."""
 WRITES_PER_S = 100.0
-"""Writes of all hosts together, a quarter of what the store takes (400 a second)."""
+"""Rate limit for the writes of all hosts together: a quarter of the store's 400 a second."""
 BACKUP_WRITE_DELAY_S = 1.0
-"""A host that did not see the last crash itself writes after this time, if the one that did has
-not written yet; readers read a write within some milliseconds."""
+"""A host that did not see the last crash itself writes after this delay, unless the host that saw
+it has written by then; readers receive a write within milliseconds."""
 SWEEP_S = 5.0
-"""Pause between looks for records that are over."""
+"""Interval at which expired records are removed."""
 CRASH_RECORDS_MAX = 512
-"""Records that are received in one message or kept in the store; 114 to 145 bytes each."""
+"""Most records sent in one message or kept in the store; each takes 114 to 145 bytes."""
 
 
 class Hop(Enum):
-    """How far a message has come; readers pass it on where hosts are too many to tell all."""
+    """How far a message has been relayed; with many hosts, the halls' readers relay it."""
 
     FIRST = 0
-    """From the host that saw it, to all others or to the reader of its hall."""
+    """From the host that saw the crash, to all others or to the reader of its hall."""
     TO_READERS = 1
     """From that reader, to its hall and the other readers."""
     TO_HALL = 2
@@ -59,7 +59,7 @@
 
 
 class CrashUpdate(msgspec.Struct, frozen=True, tag="crash_news"):
-    """Tells crashes that were seen, and suspects that ended whole; it is not answered."""
+    """Reports crashes that were seen and suspects that completed; it has no reply."""
 
     address: str
     crashes: tuple[Crash, ...]
@@ -68,7 +68,7 @@
 
 
 class PendingUpdate:
-    """What waits to be received."""
+    """Crashes and cleared requests that go into the next message."""
 
     def __init__(self) -> None:
         self.fingerprints_by_instance: dict[UpstreamStart, dict[Fingerprint, None]] = {}
@@ -76,7 +76,7 @@
 
 
 class CrashShares:
-    """Tells and takes crashes, and keeps the records of the store."""
+    """Exchanges crashes with other hosts, and keeps the store's records up to date."""
 
     def __init__(
         self, hosts: Hosts, peers: Peers, store: MetadataStore, records: CrashRecords
@@ -86,18 +86,19 @@
         self.store = store
         self.records = records
         self.confirmed_at = float("-inf")
-        """When the store, or a host that follows it, was asked for what was taken last."""
+        """When the request to the store, or to a host that follows it, was sent whose answer was
+        applied last."""
         self.writes = 0
         self._pending_by_hop: dict[Hop, PendingUpdate] = {}
         self._stored: dict[Fingerprint, CrashRecord] = {}
-        """What the store has, as far as this host knows."""
+        """The store's records, as far as this host knows."""
         self._seen_locally: dict[Fingerprint, None] = {}
-        """Requests of which this host itself saw a crash, the oldest first."""
-        self._unwritten: set[Fingerprint] = set()
+        """Requests with a crash that this host saw itself, the oldest first."""
+        self._dirty: set[Fingerprint] = set()
         self._is_writing = False
 
     def start(self) -> None:
-        """Start the task that takes records that are over out of the store."""
+        """Start the task that removes expired records from the store."""
         spawn_forever("crash records", self._sweep)
 
     @property
@@ -108,7 +109,7 @@
     # Between hosts
 
     def broadcast_crash(self, crash: Crash) -> None:
-        """Take a crash that this host has seen, and tell it."""
+        """Record a crash that this host has seen, and send it to the other hosts."""
         self._seen_locally.update(dict.fromkeys(crash.fingerprints))
         while len(self._seen_locally) > SUSPECTS_MAX:
             del self._seen_locally[next(iter(self._seen_locally))]
@@ -116,7 +117,7 @@
         self._send_soon(self._first_hop, (crash,), ())
 
     def broadcast_cleared(self, fingerprint: Fingerprint) -> None:
-        """Tell that a suspect ended whole; the records have it already."""
+        """Send that a suspect completed; the records must have been updated before."""
         self._send_soon(self._first_hop, (), (fingerprint,))
         self._write_soon(fingerprint, 0.0)
 
@@ -127,10 +128,10 @@
     def _send_soon(
         self, hop: Hop, crashes: Iterable[Crash], cleared: Iterable[Fingerprint]
     ) -> None:
-        """Send a message after a pause, with all that comes until then.
+        """Send a message after a delay, with everything that is added until then.
 
-        Hundreds of hosts may lose runs at one upstream. A reader that passed on each one's word by
-        itself would make 37,800 messages of one crash with 195 hosts in five halls; these are 990.
+        Hundreds of hosts may lose runs at one upstream. With 195 hosts in five halls, readers that
+        relayed each report by itself would send 37,800 messages for one crash; this way it is 990.
         """
         pending = self._pending_by_hop.get(hop)
         if pending is None:
@@ -152,7 +153,7 @@
 
     @property
     def _relays_for_hall(self) -> bool:
-        """Whether this host passes on what the hosts of its hall tell."""
+        """Whether this host relays the messages of its hall's hosts."""
         hosts = self.hosts
         return hosts.count > DIRECT_HOSTS_MAX and hosts.hall_reader() == hosts.own.address
 
@@ -170,14 +171,14 @@
                 return hosts.hall_addresses()
 
     def apply_update(self, update: CrashUpdate) -> None:
-        """Take what another host tells, and pass it on where that is this host's to do."""
+        """Apply an update of another host, and relay it if this host relays for its hall."""
         now_ms = clocks.unix_ms()
         for crash in update.crashes:
             self._record_crash(crash, BACKUP_WRITE_DELAY_S)
-            whole = [
+            completed = [
                 each for each in crash.fingerprints if self.records.completed_recently(each, now_ms)
             ]
-            for fingerprint in whole:
+            for fingerprint in completed:
                 self.broadcast_cleared(fingerprint)
         self.apply_cleared(update.cleared)
         if self._relays_for_hall and update.hop is not Hop.TO_HALL:
@@ -190,25 +191,28 @@
                 self._write_soon(record.fingerprint, delay_s)
 
     def _may_write(self, fingerprint: Fingerprint) -> bool:
-        """Return whether this host looks after the store's record of a request.
+        """Return whether this host may write the store's record of a request.
 
-        One that has only heard of it, and doesn't follow the store, can't know what is written: of
-        40 hosts 37 wrote what one had.
+        A host that has only received the crash, and does not follow the store, cannot know whether
+        the record was written: without this rule 37 of 40 hosts wrote the same record again.
         """
         return fingerprint in self._seen_locally or self.hosts.is_reader()
 
-    # With the store
+    # Between hosts and the store
 
     def confirm(self, asked_at: float) -> None:
-        """Note that the records are as new as a question sent at `asked_at`."""
+        """Record that the records are as new as a request sent at `asked_at`."""
         self.confirmed_at = max(self.confirmed_at, asked_at)
 
     def handle_store_restore(self) -> None:
-        """Take that the store has come back from an earlier copy: what it has is not known."""
+        """Handle that the store was restored from a copy: its records are not known any more."""
         self._stored.clear()
 
     def write_missing(self) -> None:
-        """Write what a store that was read whole lacks: one reader, the next one if it doesn't."""
+        """Write the records that a completely read store lacks.
+
+        The first reader writes at once; the others wait by their rank, in case that it does not.
+        """
         if not self.hosts.is_reader():
             return
         delay_s = BACKUP_WRITE_DELAY_S * self.hosts.reader_rank()
@@ -217,7 +221,7 @@
                 self._write_soon(record.fingerprint, delay_s)
 
     def apply_record(self, record: Record) -> None:
-        """Take one record of the store."""
+        """Apply one record of the store; one without a value was deleted."""
         fingerprint = Fingerprint(record.key)
         if not record.value:
             self._stored.pop(fingerprint, None)
@@ -225,14 +229,14 @@
             return
         decoded = decode_json(record.value, CrashRecord, Step.READ, record.key)
         if isinstance(decoded, Failure) or decoded.fingerprint != fingerprint:
-            detail = decoded.detail if isinstance(decoded, Failure) else "it names another request"
+            detail = decoded.detail if isinstance(decoded, Failure) else "it is of another request"
             logger.error("Crash record %s is unreadable. %s", record.key, detail)
             return
         self._stored[fingerprint] = decoded
         self.apply_records((decoded,))
 
     def apply_records(self, records: tuple[CrashRecord, ...]) -> None:
-        """Take what others know, and write what the store lacks of it."""
+        """Merge the records of others, and write those to which this host adds crashes."""
         for received in records:
             merged = self.records.merge(received, clocks.unix_ms())
             is_more = merged.instances != received.instances and len(merged.instances) >= SHARED_MIN
@@ -240,9 +244,9 @@
                 self._write_soon(merged.fingerprint, BACKUP_WRITE_DELAY_S)
 
     def apply_cleared(self, cleared: tuple[Fingerprint, ...]) -> None:
-        """Take which requests were cleared a short while ago; readers clear the store's records.
+        """Clear requests that were recently cleared elsewhere; readers clear the store's records.
 
-        The host that saw it may not know that there is one.
+        The host that saw the request complete may not know that the store has a record of it.
         """
         for fingerprint in cleared:
             self.records.clear(fingerprint, clocks.unix_ms())
@@ -250,18 +254,18 @@
                 self._write_soon(fingerprint, 0.0)
 
     def _write_soon(self, fingerprint: Fingerprint, delay_s: float) -> None:
-        eventlet.spawn_after(delay_s, self._add_unwritten, fingerprint)
+        eventlet.spawn_after(delay_s, self._mark_dirty, fingerprint)
 
-    def _add_unwritten(self, fingerprint: Fingerprint) -> None:
+    def _mark_dirty(self, fingerprint: Fingerprint) -> None:
         if not self._store_lacks(fingerprint):
             return
-        self._unwritten.add(fingerprint)
+        self._dirty.add(fingerprint)
         if not self._is_writing:
             self._is_writing = True
             eventlet.spawn(self._write)
 
     def _store_lacks(self, fingerprint: Fingerprint) -> bool:
-        """Return whether the store should have something else of a request."""
+        """Return whether the store's record of a request is missing or out of date."""
         stored = self._stored.get(fingerprint)
         known = self.records.by_fingerprint.get(fingerprint)
         if known is None or len(known.instances) < SHARED_MIN:
@@ -271,11 +275,11 @@
         return not set(known.instances) <= set(stored.instances)
 
     def _write(self) -> None:
-        """Write until the store has what it lacked; a store that is away is tried again."""
+        """Write until the store is up to date; a write that fails is tried again."""
         try:
-            while self._unwritten:
-                self._unwritten = {each for each in self._unwritten if self._store_lacks(each)}
-                batch = list(self._unwritten)[:CRASH_RECORDS_MAX]
+            while self._dirty:
+                self._dirty = {each for each in self._dirty if self._store_lacks(each)}
+                batch = list(self._dirty)[:CRASH_RECORDS_MAX]
                 if batch:
                     self._write_batch(batch)
                 pause_s = max(WRITE_PAUSE_S, self.hosts.count / WRITES_PER_S)
@@ -292,9 +296,11 @@
         self.writes += 1
         failure = self.store.put_all(Topic.CRASHES, values)
         if failure is not None:
-            logger.info("Crash records were not written. %s", failure.detail)
+            logger.info(
+                "Crash records could not be written and will be retried. %s", failure.detail
+            )
             return
-        self._unwritten -= set(batch)
+        self._dirty -= set(batch)
         for fingerprint, record in records.items():
             if record is None:
                 self._stored.pop(fingerprint, None)
@@ -306,8 +312,8 @@
             eventlet.sleep(SWEEP_S)
             now_ms = clocks.unix_ms()
             self.records.sweep(now_ms)
-            over = [key for key, record in self._stored.items() if record.is_expired(now_ms)]
-            for fingerprint in over:
+            expired = [key for key, record in self._stored.items() if record.is_expired(now_ms)]
+            for fingerprint in expired:
                 if self.hosts.is_reader():
                     self._write_soon(fingerprint, 0.0)
                 else:
--- a/libs/serving/ruddersaddle_serving/tests/test_crash_shares.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_crash_shares.py
@@ -1,4 +1,4 @@
-"""Tests of how all hosts come to refuse a request that crashes upstreams."""
+"""Tests that all hosts come to refuse a request that crashes upstreams."""
 
 import unittest
 from unittest import mock
@@ -17,22 +17,22 @@
 from ruddersaddle_serving.upstream_entries import UpstreamStart
 
 BAD, COMMON = Fingerprint("bad"), Fingerprint("common")
-AWAY = Failure(Code.LOG_UNAVAILABLE, Step.APPEND, "store", "status 503")
+STORE_DOWN = Failure(Code.LOG_UNAVAILABLE, Step.APPEND, "store", "status 503")
 
 
 class FakeStore:
-    """The newest value of each key, and who follows them."""
+    """Holds the newest value of each key, and notifies the hosts that follow the store."""
 
     def __init__(self) -> None:
         self.value_by_key: dict[str, bytes] = {}
         self.followers: list[CrashShares] = []
         self.calls = 0
-        self.is_away = False
+        self.is_down = False
 
     def put_all(self, topic: Topic, values: dict[str, bytes | None]) -> Failure | None:
         self.calls += 1
-        if self.is_away:
-            return AWAY
+        if self.is_down:
+            return STORE_DOWN
         for key, value in values.items():
             self.value_by_key.pop(key, None)
             if value is not None:
@@ -42,21 +42,21 @@
         return None
 
     def read(self, shares: CrashShares) -> None:
-        """Let a host that has just started read everything."""
+        """Let a host that has just started read all records."""
         for key, value in self.value_by_key.items():
             shares.apply_record(Record(key, value, 0))
 
 
 class FakePeers:
-    """Carries messages between hosts, unless they are cut off from one another."""
+    """Delivers messages between hosts, unless they are partitioned."""
 
     def __init__(self) -> None:
         self.by_address: dict[str, CrashShares] = {}
-        self.is_cut = False
+        self.is_partitioned = False
         self.sent = 0
 
     def tell_all(self, addresses: list[str], message: CrashUpdate) -> None:
-        if self.is_cut:
+        if self.is_partitioned:
             return
         for address in addresses:
             self.sent += 1
@@ -64,7 +64,7 @@
 
 
 def instance(number: int) -> UpstreamStart:
-    """Return a start of an upstream."""
+    """Return an upstream instance."""
     return UpstreamStart(UpstreamId(f"e-{number}"), 1000 + number)
 
 
@@ -98,14 +98,14 @@
         found = [each.records.find_refusal(fingerprint, now_ms) for each in fleet]
         return sum(each is not None for each in found)
 
-    def test_crashes_seen_by_three_hosts_are_put_together(self) -> None:
+    def test_crashes_seen_by_three_hosts_are_merged(self) -> None:
         fleet = self.make_fleet(3, 2)
         for number in range(3):
             fleet[number].broadcast_crash(Crash(instance(number), (BAD,)))
         self.settle()
         self.assertEqual(self.refusing(fleet), 6)
 
-    def test_many_hosts_hear_of_it_by_their_readers(self) -> None:
+    def test_many_hosts_receive_crashes_through_their_readers(self) -> None:
         fleet = self.make_fleet(4, 10)
         for number in range(3):
             fleet[7 * number].broadcast_crash(Crash(instance(number), (BAD,)))
@@ -113,7 +113,7 @@
         self.assertEqual(self.refusing(fleet), 40)
         self.assertLessEqual(self.peers.sent, 3 * 40)
 
-    def test_crash_that_many_hosts_saw_is_passed_on_together(self) -> None:
+    def test_crash_that_many_hosts_saw_is_relayed_in_few_messages(self) -> None:
         fleet = self.make_fleet(4, 10)
         for number, shares in enumerate(fleet):
             shares.broadcast_crash(Crash(instance(0), (BAD, Fingerprint(f"f-{number}"))))
@@ -121,11 +121,12 @@
         self.assertEqual({len(each.records.by_fingerprint) for each in fleet}, {41})
         self.assertLess(self.peers.sent, 40 * 10)
 
-    def test_hosts_cut_off_from_one_another_refuse_it_by_the_store(self) -> None:
-        """Each saw one crash; the next one of any host goes to the store with its first."""
+    def test_partitioned_hosts_refuse_by_the_store(self) -> None:
+        """Each host saw one crash; the next crash that any of them sees brings its record to two,
+        so that the host writes it to the store."""
         fleet = self.make_fleet(3, 1)
         self.store.followers = fleet
-        self.peers.is_cut = True
+        self.peers.is_partitioned = True
         for number in range(3):
             fleet[number].broadcast_crash(Crash(instance(number), (BAD,)))
         self.settle()
@@ -134,7 +135,7 @@
         self.settle()
         self.assertEqual(self.refusing(fleet), 3)
 
-    def test_host_that_has_just_started_refuses_it_by_the_store_alone(self) -> None:
+    def test_host_that_has_just_started_refuses_by_the_store_alone(self) -> None:
         fleet = self.make_fleet(1, 2)
         for number in range(3):
             fleet[0].broadcast_crash(Crash(instance(number), (BAD,)))
@@ -143,14 +144,14 @@
         self.store.read(new)
         self.assertEqual(self.refusing([new]), 1)
 
-    def test_outage_of_the_store_delays_the_record_only(self) -> None:
+    def test_outage_of_the_store_only_delays_the_record(self) -> None:
         fleet = self.make_fleet(1, 2)
-        self.store.is_away = True
+        self.store.is_down = True
         for number in range(3):
             fleet[0].broadcast_crash(Crash(instance(number), (BAD,)))
         self.settle()
         self.assertEqual(self.store.value_by_key, {})
-        self.store.is_away = False
+        self.store.is_down = False
         self.settle()
         self.assertIn(BAD, self.store.value_by_key)
 
@@ -170,8 +171,8 @@
         self.assertEqual(len(self.store.value_by_key), 200)
         self.assertLessEqual(self.store.calls, 3)
 
-    def test_hosts_that_do_not_follow_the_store_write_nothing_of_what_they_only_heard(self) -> None:
-        """Each of 195 hosts wrote what it couldn't know to be written."""
+    def test_hosts_that_do_not_follow_the_store_write_no_received_records(self) -> None:
+        """Guards against each of 195 hosts writing the same record to the store."""
         fleet = self.make_fleet(4, 10)
         self.store.followers = [each for each in fleet if each.hosts.is_reader()]
         for number in range(3):
@@ -180,7 +181,7 @@
         self.assertEqual(self.refusing(fleet), 40)
         self.assertLessEqual(self.store.calls, 5)
 
-    def test_record_of_a_request_that_ended_whole_goes_whoever_saw_it(self) -> None:
+    def test_record_of_a_completed_request_is_deleted_whichever_host_saw_it(self) -> None:
         fleet = self.make_fleet(4, 10)
         self.store.followers = [each for each in fleet if each.hosts.is_reader()]
         (other, *_) = [each for each in fleet if not each.hosts.is_reader()]
@@ -193,7 +194,7 @@
         self.settle()
         self.assertEqual(self.store.value_by_key, {})
 
-    def test_run_that_ends_whole_clears_it_everywhere(self) -> None:
+    def test_completion_clears_a_request_on_all_hosts(self) -> None:
         fleet = self.make_fleet(1, 3)
         self.store.followers = fleet
         for number in range(3):
@@ -205,7 +206,7 @@
         self.assertEqual(self.refusing(fleet), 0)
         self.assertEqual(self.store.value_by_key, {})
 
-    def test_host_where_it_ended_whole_clears_a_common_request_that_another_suspects(self) -> None:
+    def test_host_where_a_common_request_completed_clears_it_on_others(self) -> None:
         fleet = self.make_fleet(1, 2)
         fleet[1].records.record_completion(COMMON, clocks.unix_ms())
         for number in range(3):
@@ -213,7 +214,7 @@
             self.settle()
         self.assertEqual(self.refusing(fleet, COMMON), 0)
 
-    def test_unreadable_record_is_left_out(self) -> None:
+    def test_unreadable_record_is_skipped(self) -> None:
         (only,) = self.make_fleet(1, 1)
         for value in (b"{}", b"\xff", b'["x", [["e"]], "late"]', b'["y", [["e"]], 5]'):
             only.apply_record(Record("x", value, 0))
