--- a/libs/serving/ruddersaddle_serving/crash_watches.py
+++ b/libs/serving/ruddersaddle_serving/crash_watches.py
@@ -1,7 +1,8 @@
-"""Finds out whether upstreams have ended under runs that broke off, and refuses what ends them.
+"""Tells crashes of upstreams from broken connections, and refuses requests that crash upstreams.
 
-To a run, the crash of its upstream and the reset of one connection look alike. The upstream's
-address tells them apart: after a crash it refuses connections until the next instance answers.
+To a run, the crash of its upstream and the reset of one connection look alike. Probing the
+upstream's address tells them apart: after a crash, connections are refused until the next instance
+answers.
 """
 
 import logging
@@ -22,21 +23,22 @@
 logger = logging.getLogger(__name__)
 
 PROBE_PAUSES_S = (0.0, 0.1, 0.3, 0.6, 1.0, 2.0)
-"""Pauses before the looks at an address, 4 s in all: a instance that has ended keeps its entry for
+"""Pauses before the probes of an address, 4 s in all: the entry of a crashed instance lasts for
 three heartbeats (3.6 s)."""
 DOWN_MIN = 2
-"""Looks that have to find nobody there. An upstream that has as many connections as it takes resets
-any further one; some 0.1 s later there is room."""
+"""Probes that must find the address down. An upstream at its connection limit also resets a probe,
+but has room again some 0.1 s later."""
 FINGERPRINTS_MAX = 256
-"""Broken runs that are remembered for one instance; an upstream runs 128 at once."""
+"""Broken runs that are remembered for one instance; an upstream runs 128 requests at once."""
 OUTCOME_WAIT_S = 0.5
-"""Longest wait for the outcome of a look; two looks that find nobody take 0.1 s."""
+"""Longest wait for the outcome of probing; two probes that find the address down take 0.1 s."""
 OUTCOME_POLL_S = 0.01
 MS_PER_S = 1000
 
 
 class CrashWatch:
-    """Watches the upstreams under which this host's runs broke off, and refuses their causes."""
+    """Probes the upstreams on which runs of this host broke off, and refuses requests that crash
+    upstreams."""
 
     def __init__(
         self,
@@ -52,16 +54,17 @@
         self.notify_crash = notify_crash
         self.notify_cleared = notify_cleared
         self.counts = {"crash": 0, "reset": 0, "refused": 0}
-        """Upstreams that ended under runs of this host, upstreams that lived on after a run had
-        broken off, and requests that were refused for the crashes they caused."""
+        """Upstreams that crashed while running requests of this host, upstreams that were still
+        alive after a run broke off, and requests that were refused because they crash upstreams."""
         self._broken_by_instance: dict[UpstreamStart, dict[Fingerprint, None]] = {}
 
-    # What is decided
+    # Decisions
 
     def check(self, fingerprint: Fingerprint, pool: PoolId) -> Failure | None:
-        """Refuse a request under which too many upstreams have ended.
+        """Refuse a request that has crashed too many upstreams.
 
-        Each further send costs one more upstream with all its runs: 16 ended under one request.
+        Each further attempt costs one more upstream with all its runs; one request that was not
+        refused crashed 16 of them.
         """
         now_ms = clocks.unix_ms()
         record = self.records.find_refusal(fingerprint, now_ms)
@@ -71,15 +74,15 @@
         names = ", ".join(map(str, record.instances[:CRASHES_MAX]))
         ago_s = (now_ms - record.last_ms) / MS_PER_S
         detail = (
-            f"{len(record.instances)} upstreams ended under it, the last {ago_s:.1f} s ago: {names}"
+            f"it crashed {len(record.instances)} upstreams, the last {ago_s:.1f} s ago: {names}"
         )
         left_s = (record.until_ms - now_ms) / MS_PER_S
         return Failure(Code.CRASHES_UPSTREAMS, Step.ADMIT, pool, detail, retry_after_s=left_s)
 
     def wait_for_outcome(self, fingerprint: Fingerprint) -> None:
-        """Wait until it is known whether a broken run was the crash that refuses its request.
+        """Wait until it is known whether a broken run means the crash that refuses its request.
 
-        Upstreams are looked at for some 0.1 s; a second try in that time ended a fourth upstream.
+        Probing an upstream takes some 0.1 s; a second attempt in that time crashed a fourth one.
         """
         until = clocks.now_s() + OUTCOME_WAIT_S
         while self._may_refuse(fingerprint) and clocks.now_s() < until:
@@ -88,29 +91,29 @@
     def _may_refuse(self, fingerprint: Fingerprint) -> bool:
         return self.records.count(fingerprint) >= CRASHES_MAX - 1 and self.is_pending(fingerprint)
 
-    # What is seen
+    # Observations
 
     def record_completion(self, fingerprint: Fingerprint) -> None:
-        """Take that a run ended whole, which clears its request."""
+        """Record that a run completed, which clears its request."""
         if self.records.record_completion(fingerprint, clocks.unix_ms()):
             self.notify_cleared(fingerprint)
 
     def record_broken_run(self, tracker: Tracker, fingerprint: Fingerprint) -> None:
-        """Take that a run broke off, and look what became of its upstream."""
+        """Record that a run broke off, and start to probe its upstream."""
         entry = tracker.entry
         listed = self.upstreams.by_id.get(entry.id)
         if listed is None or listed.leaving:
-            # Its end was planned: it said so, or took its entry back and served on a while.
+            # A planned stop: the upstream announced it, or withdrew its entry before it stopped.
             return
-        is_watched = entry.start in self._broken_by_instance
+        is_probed = entry.start in self._broken_by_instance
         broken = self._broken_by_instance.setdefault(entry.start, {})
         if len(broken) < FINGERPRINTS_MAX:
             broken[fingerprint] = None
-        if not is_watched:
+        if not is_probed:
             eventlet.spawn(self._check_instance, tracker, entry.start)
 
     def is_pending(self, fingerprint: Fingerprint) -> bool:
-        """Return whether it isn't known yet if a run of this request ended its upstream."""
+        """Return whether an upstream is being probed on which a run of this request broke off."""
         return any(fingerprint in broken for broken in self._broken_by_instance.values())
 
     def _check_instance(self, tracker: Tracker, instance: UpstreamStart) -> None:
@@ -120,15 +123,15 @@
             broken = tuple(self._broken_by_instance.pop(instance))
         if not has_crashed:
             self.counts["reset"] += 1
-            logger.info("Upstream %s lives; %d runs there broke off.", instance, len(broken))
+            logger.info("Upstream %s is alive; %d runs on it broke off.", instance, len(broken))
             return
         self.counts["crash"] += 1
         fields = {"fingerprints": broken}
-        logger.warning("Upstream %s ended under %d runs.", instance, len(broken), extra=fields)
+        logger.warning("Upstream %s crashed with %d runs.", instance, len(broken), extra=fields)
         self.notify_crash(Crash(instance, broken))
 
     def _has_crashed(self, tracker: Tracker, instance: UpstreamStart) -> bool:
-        down = 0
+        down_count = 0
         for pause_s in PROBE_PAUSES_S:
             eventlet.sleep(pause_s)
             if tracker.is_replaced or tracker.entry.start != instance:
@@ -139,7 +142,7 @@
                 case Presence.REPLACED:
                     return True
                 case Presence.DOWN:
-                    down += 1
-            if down >= DOWN_MIN:
+                    down_count += 1
+            if down_count >= DOWN_MIN:
                 return True
         return False
--- a/libs/serving/ruddersaddle_serving/tests/test_crash_watches.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_crash_watches.py
@@ -1,4 +1,4 @@
-"""Tests of what tells the end of an upstream from a broken connection, and who is refused."""
+"""Tests that crashes are told from broken connections, and which requests are refused for them."""
 
 import unittest
 from unittest import mock
@@ -32,10 +32,10 @@
         self.crashes: list[Crash] = []
         self.upstreams = UpstreamList()
         self.watch = CrashWatch(
-            self.engines, self.upstreams, self.records, self.take, self.cleared.append
+            self.engines, self.upstreams, self.records, self.record_crash, self.cleared.append
         )
 
-    def take(self, crash: Crash) -> None:
+    def record_crash(self, crash: Crash) -> None:
         self.crashes.append(crash)
         self.records.record_crash(crash, clocks.unix_ms())
 
@@ -46,39 +46,39 @@
         self.upstreams.put(entry)
         return Tracker(entry)
 
-    def seen(self, *presences: Presence, tracker: Tracker | None = None) -> int:
-        """Return how many crashes are told after a broken run and these looks."""
+    def count_crashes(self, *presences: Presence, tracker: Tracker | None = None) -> int:
+        """Return how many crashes are reported after a broken run and probes with these results."""
         self.engines.presence.side_effect = [*presences, *[presences[-1]] * 9]
         self.watch.record_broken_run(tracker or self.make_tracker(), BAD)
         eventlet.sleep(0.1)
         return len(self.crashes)
 
-    def test_address_that_refuses_connections_shows_a_crash(self) -> None:
-        self.assertEqual(self.seen(Presence.DOWN), 1)
+    def test_address_that_refuses_connections_is_a_crash(self) -> None:
+        self.assertEqual(self.count_crashes(Presence.DOWN), 1)
         self.assertEqual(self.crashes[0].fingerprints, (BAD,))
 
-    def test_next_start_at_the_address_shows_a_crash(self) -> None:
-        self.assertEqual(self.seen(Presence.UNKNOWN, Presence.REPLACED), 1)
+    def test_next_instance_at_the_address_is_a_crash(self) -> None:
+        self.assertEqual(self.count_crashes(Presence.UNKNOWN, Presence.REPLACED), 1)
 
-    def test_upstream_that_answers_has_lost_a_connection_only(self) -> None:
-        self.assertEqual(self.seen(Presence.HERE), 0)
+    def test_upstream_that_answers_has_only_lost_a_connection(self) -> None:
+        self.assertEqual(self.count_crashes(Presence.HERE), 0)
         self.assertEqual(self.watch.counts["reset"], 1)
 
-    def test_upstream_with_all_its_connections_taken_resets_one_look(self) -> None:
-        self.assertEqual(self.seen(Presence.DOWN, Presence.HERE), 0)
+    def test_upstream_at_its_connection_limit_resets_one_probe(self) -> None:
+        self.assertEqual(self.count_crashes(Presence.DOWN, Presence.HERE), 0)
 
-    def test_silence_behind_a_cut_is_no_crash(self) -> None:
-        self.assertEqual(self.seen(Presence.UNKNOWN), 0)
+    def test_unreachable_upstream_is_no_crash(self) -> None:
+        self.assertEqual(self.count_crashes(Presence.UNKNOWN), 0)
 
-    def test_planned_end_is_no_crash(self) -> None:
-        self.assertEqual(self.seen(Presence.DOWN, tracker=self.make_tracker(0, True)), 0)
+    def test_planned_stop_is_no_crash(self) -> None:
+        self.assertEqual(self.count_crashes(Presence.DOWN, tracker=self.make_tracker(0, True)), 0)
 
-    def test_end_of_an_upstream_that_took_its_entry_back_is_no_crash(self) -> None:
+    def test_stop_of_an_upstream_that_withdrew_its_entry_is_no_crash(self) -> None:
         tracker = self.make_tracker()
         self.upstreams.remove(tracker.id)
-        self.assertEqual(self.seen(Presence.DOWN, tracker=tracker), 0)
+        self.assertEqual(self.count_crashes(Presence.DOWN, tracker=tracker), 0)
 
-    def test_one_look_serves_all_runs_that_broke_off(self) -> None:
+    def test_all_broken_runs_of_an_instance_share_its_probes(self) -> None:
         tracker = self.make_tracker()
         self.engines.presence.return_value = Presence.DOWN
         self.watch.record_broken_run(tracker, BAD)
@@ -100,8 +100,8 @@
         self.assertGreater(failure.retry_after_s, 500)
         self.assertIsNone(self.watch.check(OTHER, POOL))
 
-    def test_second_try_waits_while_the_third_crash_is_looked_at(self) -> None:
-        """Sent at once it ended a fourth upstream."""
+    def test_second_attempt_waits_while_the_third_crash_is_probed(self) -> None:
+        """Guards against the second attempt crashing a fourth upstream before the third counts."""
         self.engines.presence.return_value = Presence.DOWN
         for number in range(CRASHES_MAX):
             self.watch.record_broken_run(self.make_tracker(number), BAD)
@@ -110,15 +110,15 @@
                 eventlet.sleep(0.1)
         self.assertIsNotNone(self.watch.check(BAD, POOL))
 
-    def test_first_retry_after_a_crash_waits_for_nothing(self) -> None:
+    def test_first_retry_after_a_crash_does_not_wait(self) -> None:
         self.engines.presence.return_value = Presence.DOWN
         self.watch.record_broken_run(self.make_tracker(), BAD)
         began = clocks.now_s()
         self.watch.wait_for_outcome(BAD)
         self.assertLess(clocks.now_s() - began, crash_watches.OUTCOME_POLL_S)
 
-    def test_whole_run_clears_a_suspect_and_tells_it(self) -> None:
-        self.seen(Presence.DOWN)
+    def test_completed_run_clears_a_suspect_and_notifies(self) -> None:
+        self.count_crashes(Presence.DOWN)
         self.watch.record_completion(BAD)
         self.watch.record_completion(OTHER)
         self.assertEqual(self.cleared, [BAD])
