--- a/libs/serving/ruddersaddle_serving/probes.py
+++ b/libs/serving/ruddersaddle_serving/probes.py
@@ -1,7 +1,7 @@
-"""Asks unresponsive upstreams whether they are there, so that no caller's request has to.
+"""Probes unresponsive upstreams, so that no caller's request has to test whether they are back.
 
-The reader of the upstream's hall does it, and the reader of the next hall, in case that the first
-one is cut off. What they find is told like the steps of requests.
+The readers of the upstream's hall and of the next hall probe it, in case that one of them is
+partitioned. Results are sent to other hosts in the same notices as the progress of requests.
 """
 
 import logging
@@ -20,27 +20,27 @@
 logger = logging.getLogger(__name__)
 
 CHECK_INTERVAL_S = 0.2
-"""Pause between looks for unresponsive upstreams."""
+"""Interval at which unresponsive upstreams are looked for."""
 PROBE_INTERVAL_S = 0.4
-"""Pause between probes of one unresponsive upstream, in seconds."""
+"""Interval between probes of one unresponsive upstream."""
 PROBE_INTERVAL_MAX_S = 6.4
 RELAPSE_S = 3.0
-"""An upstream that is unresponsive again this soon after it answered a probe answers nothing but
-probes: the interval doubles each time. Otherwise an upstream that hangs would get a tenth of the
-requests for ever."""
+"""An upstream that becomes unresponsive this soon after it answered a probe answers nothing but
+probes, and its probe interval doubles each time. Otherwise an upstream that hangs would get a tenth
+of the requests for ever."""
 
 
 class ProbeState(msgspec.Struct):
-    """How the probes of one upstream went; moments are of the steady clock."""
+    """The probe schedule of one upstream; times are of the monotonic clock."""
 
     interval_s: float = PROBE_INTERVAL_S
     next_at: float = 0.0
     reached_at: float | None = None
-    """When it last answered, until it is unresponsive again."""
+    """When it last answered a probe; None once it is unresponsive again."""
 
 
 class Probes:
-    """Probes the unresponsive upstreams that are this host's to probe."""
+    """Probes the unresponsive upstreams that this host is responsible for."""
 
     def __init__(
         self, hosts: Hosts, trackers: Trackers, engines: Engines, notify: Callable[[Notice], None]
@@ -63,14 +63,16 @@
                 eventlet.spawn(self.probe, tracker)
 
     def due(self) -> list[Tracker]:
-        """Return the upstreams to probe now."""
+        """Return the upstreams to probe now, and schedule their next probes."""
         trackers = self.trackers.by_id.values()
         unresponsive = [each for each in trackers if each.is_silent and not each.is_replaced]
         known = self._state_by_id
         self._state_by_id = {each: known[each] for each in known if each in self.trackers.by_id}
-        return [each for each in unresponsive if self._is_mine(each) and self._schedule(each.id)]
+        return [
+            each for each in unresponsive if self._is_responsible(each) and self._schedule(each.id)
+        ]
 
-    def _is_mine(self, tracker: Tracker) -> bool:
+    def _is_responsible(self, tracker: Tracker) -> bool:
         by_hall = self.hosts.reader_by_hall()
         halls = sorted(by_hall)
         hall = tracker.entry.hall
@@ -79,18 +81,18 @@
         return self.hosts.own.address in probers
 
     def _schedule(self, upstream: UpstreamId) -> bool:
-        """Return whether the upstream's next probe is due, and date the one after it."""
+        """Return whether the upstream's next probe is due; if so, schedule the one after it."""
         now = clocks.now_s()
         state = self._state_by_id.setdefault(upstream, ProbeState())
         if state.reached_at is not None:
-            self._slow_down(state, now)
+            self._adjust_interval(state, now)
         if now < state.next_at:
             return False
         state.next_at = now + state.interval_s
         return True
 
-    def _slow_down(self, state: ProbeState, now: float) -> None:
-        """Take that an upstream is unresponsive again although it answered a probe."""
+    def _adjust_interval(self, state: ProbeState, now: float) -> None:
+        """Adjust the interval of an upstream that became unresponsive after it answered a probe."""
         if now - state.reached_at < RELAPSE_S:
             state.interval_s = min(PROBE_INTERVAL_MAX_S, 2 * state.interval_s)
         else:
@@ -99,7 +101,7 @@
         state.reached_at = None
 
     def probe(self, tracker: Tracker) -> None:
-        """Ask an upstream whether it is there, and notify the answer."""
+        """Probe an upstream, and send the result to the other hosts."""
         self.count += 1
         presence = self.engines.presence(tracker.entry.address, tracker.entry.start)
         match presence:
--- a/libs/serving/ruddersaddle_serving/tests/test_probes.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_probes.py
@@ -1,4 +1,4 @@
-"""Tests of who tries a silent upstream again, and how often."""
+"""Tests of which hosts probe an unresponsive upstream, and how often."""
 
 import unittest
 from unittest import mock
@@ -38,14 +38,14 @@
         engines.presence.return_value = Presence.HERE
         return Probes(hosts, trackers, engines, lambda notice: tracker.take_notice(own, notice))
 
-    def fall_silent(self, probes: Probes) -> None:
+    def become_unresponsive(self, probes: Probes) -> None:
         tracker = probes.trackers.by_id[ENGINE]
         tracker.take_notice("x", Notice(ENGINE, 1, Progress.SENT, expected_s=0.1))
         ended = Notice(ENGINE, 1, Progress.ENDED, reach=Reach.NO_CONNECTION)
         tracker.take_notice("x", ended)
 
     def run_for(self, seconds: float) -> int:
-        """Look ten times a second; return how many probes were made."""
+        """Check for due probes ten times a second; return how many were made."""
         before = self.probes.count
         for _ in range(round(seconds * 10)):
             self.now += 0.1
@@ -58,15 +58,15 @@
         probers = []
         for name in names:
             probes = self.make_probes(name)
-            self.fall_silent(probes)
+            self.become_unresponsive(probes)
             probers += [name] if probes.due() else []
         self.assertEqual(probers, ["h0-0", "h1-0"])
 
-    def test_upstream_that_answers_is_left_alone(self) -> None:
+    def test_upstream_that_answers_is_not_probed(self) -> None:
         self.assertEqual(self.run_for(5.0), 0)
 
-    def test_dark_upstream_is_probed_until_it_takes_a_connection(self) -> None:
-        self.fall_silent(self.probes)
+    def test_upstream_that_is_down_is_probed_until_it_accepts_a_connection(self) -> None:
+        self.become_unresponsive(self.probes)
         self.probes.engines.presence.return_value = Presence.DOWN
         self.assertIn(self.run_for(4.0), range(8, round(4.0 / PROBE_INTERVAL_S) + 1))
         self.assertFalse(self.tracker.is_sound)
@@ -75,21 +75,23 @@
         self.assertTrue(self.tracker.is_sound)
         self.assertEqual(self.run_for(4.0), 0)
 
-    def test_address_that_another_upstream_has_taken_is_left_for_good(self) -> None:
-        """Each of 25 hosts sent requests there until its own first was refused."""
-        self.fall_silent(self.probes)
+    def test_address_of_another_upstream_is_not_probed_again(self) -> None:
+        """Guards against each of 25 hosts sending requests there until its own first is refused."""
+        self.become_unresponsive(self.probes)
         self.probes.engines.presence.return_value = Presence.REPLACED
         self.assertEqual(self.run_for(4.0), 1)
         self.assertFalse(self.tracker.is_sound)
 
-    def test_upstream_that_takes_connections_and_answers_nothing_is_probed_ever_less(self) -> None:
+    def test_upstream_that_accepts_connections_but_answers_nothing_is_probed_less_and_less(
+        self,
+    ) -> None:
         counts = []
         for _ in range(4):
             began = self.probes.count
             for _ in range(40):
                 if not self.tracker.is_silent:
                     self.now += 0.5
-                    self.fall_silent(self.probes)
+                    self.become_unresponsive(self.probes)
                 self.run_for(0.1)
             counts.append(self.probes.count - began)
         self.assertLess(counts[-1], counts[0])
