--- a/libs/serving/ruddersaddle_serving/explanations.py
+++ b/libs/serving/ruddersaddle_serving/explanations.py
@@ -1,33 +1,33 @@
-"""Tells the story of one request from the logs of several hosts."""
+"""Reconstructs the course of one request from the logs of several hosts."""
 
 import json
 from collections.abc import Iterable, Iterator
 from typing import Any
 
 HIDDEN = frozenset({"time", "level", "text", "host", "request", "requests"})
-"""Fields that stand elsewhere in a line of the story, or concern other requests, too."""
-ENDED = "Request ended."
-STARTED = "has started."
-LAST_WORDS = ("has stopped.", "ends by a fault.")
-"""How the last line of a process ends."""
-DROPPED = "lines were dropped."
+"""Fields that are left out: they are shown elsewhere in a line, or concern other requests too."""
+REQUEST_ENDED = "Request ended."
+PROCESS_STARTED = "has started."
+PROCESS_ENDED = ("has stopped.", "ends by a fault.")
+"""Endings of the last line that a process writes."""
+LINES_DROPPED = "lines were dropped."
 
 Record = dict[str, Any]
 
 
 def explain(request: str, lines: Iterable[str]) -> list[str]:
-    """Return the lines that concern a request, in the order of time, as sentences.
+    """Return the log lines that concern a request, ordered by time and formatted as text.
 
-    A line may have anything before its JSON, as collectors of logs put it there. Where no line
-    tells how the request ended, what may have kept it from being written follows.
+    A line may have any prefix before its JSON, since log collectors add one. If no line tells how
+    the request ended, possible reasons follow why that line is missing.
     """
     records = [record for record in map(_parse, lines) if record]
     records.sort(key=lambda record: str(record.get("time", "")))
-    story = [record for record in records if _concerns(record, request)]
-    told = [_tell(record, request) for record in story]
-    if not any(_has_end(record) for record in story):
-        told += _find_gaps(records)
-    return told
+    related = [record for record in records if _is_related(record, request)]
+    formatted = [_format(record, request) for record in related]
+    if not any(_reports_end(record) for record in related):
+        formatted += _explain_missing_end(records)
+    return formatted
 
 
 def _parse(line: str) -> Record | None:
@@ -37,31 +37,31 @@
     try:
         record = json.loads(line[start:])
     except ValueError:
-        # A line of another program, or one that was cut off.
+        # A line of another program, or a truncated line.
         return None
     return record if isinstance(record, dict) else None
 
 
-def _concerns(record: Record, request: str) -> bool:
+def _is_related(record: Record, request: str) -> bool:
     if record.get("request") == request or request in str(record.get("text", "")).split():
         return True
     return _find_cut(record, request) is not None
 
 
 def _find_cut(record: Record, request: str) -> str | None:
-    """Return what a line about the end of a host says of a request that was cut."""
+    """Return what the last line of a host says of a request that its end cut, or None."""
     for cut in record.get("requests", ()):
         if str(cut).partition(" ")[0] == request:
             return str(cut)
     return None
 
 
-def _has_end(record: Record) -> bool:
+def _reports_end(record: Record) -> bool:
     text = str(record.get("text", ""))
-    return text.endswith(ENDED) or text.endswith(LAST_WORDS)
+    return text.endswith(REQUEST_ENDED) or text.endswith(PROCESS_ENDED)
 
 
-def _tell(record: Record, request: str = "") -> str:
+def _format(record: Record, request: str = "") -> str:
     fields = [f"{name}={value}" for name, value in record.items() if name not in HIDDEN]
     cut = _find_cut(record, request)
     if cut is not None:
@@ -70,25 +70,25 @@
     return " ".join([head, *fields])
 
 
-def _find_gaps(records: list[Record]) -> Iterator[str]:
-    """Yield the lines that tell of lost lines, and of processes that ended without a last word."""
+def _explain_missing_end(records: list[Record]) -> Iterator[str]:
+    """Yield notes on dropped lines, and on processes that ended without logging their end."""
     started: set[str] = set()
     last_by_host: dict[str, Record] = {}
     for record in records:
         text = str(record.get("text", ""))
         host = str(record.get("host"))
         last = last_by_host.get(host)
-        if text.endswith(DROPPED) or (text.endswith(LAST_WORDS) and record.get("cut")):
-            yield f"perhaps: {_tell(record)}"
-        if text.endswith(STARTED):
-            if last is not None and not _is_last_word(last):
+        if text.endswith(LINES_DROPPED) or (text.endswith(PROCESS_ENDED) and record.get("cut")):
+            yield f"perhaps: {_format(record)}"
+        if text.endswith(PROCESS_STARTED):
+            if last is not None and not _is_process_end(last):
                 yield f"perhaps: {last.get('time')} {host} was killed: it started again after this"
             started.add(host)
         last_by_host[host] = record
     for host, last in last_by_host.items():
-        if host in started and not _is_last_word(last):
+        if host in started and not _is_process_end(last):
             yield f"perhaps: {last.get('time')} {host} was killed or still runs: its log ends here"
 
 
-def _is_last_word(record: Record) -> bool:
-    return str(record.get("text", "")).endswith(LAST_WORDS)
+def _is_process_end(record: Record) -> bool:
+    return str(record.get("text", "")).endswith(PROCESS_ENDED)
--- a/libs/serving/ruddersaddle_serving/tests/test_explanations.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_explanations.py
@@ -1,4 +1,4 @@
-"""Tests of the story of a request."""
+"""Tests of how the course of a request is reconstructed from logs."""
 
 import unittest
 
@@ -16,25 +16,25 @@
 
 
 class ExplainTest(unittest.TestCase):
-    def test_lines_of_the_request_are_told_in_order(self) -> None:
+    def test_lines_of_the_request_are_returned_in_order(self) -> None:
         expected = [
             "1 edge-2 forward: Stream of r-1 goes on after 4.",
             "2 edge-2 front: Request ended. status=200",
         ]
         self.assertEqual(explain("r-1", LINES), expected)
 
-    def test_unknown_request_has_no_story(self) -> None:
+    def test_unknown_request_has_no_lines(self) -> None:
         self.assertEqual(explain("r-9", LINES), [])
 
-    def test_request_that_a_stop_cut_is_found_in_the_last_word_of_its_host(self) -> None:
+    def test_request_cut_by_a_stop_is_found_in_the_last_line_of_its_host(self) -> None:
         line = (
             '{"time": "5", "text": "host: Host e has stopped.", "host": "e", "cut": 2, '
             '"requests": ["r-10 on a at i-1 for 2.0 s", "r-1 on b at i-2 for 1.0 s"]}'
         )
-        told = "5 e host: Host e has stopped. cut=2 cut here: r-1 on b at i-2 for 1.0 s"
-        self.assertEqual(explain("r-1", [line]), [told])
+        expected = "5 e host: Host e has stopped. cut=2 cut here: r-1 on b at i-2 for 1.0 s"
+        self.assertEqual(explain("r-1", [line]), [expected])
 
-    def test_request_without_an_end_is_followed_by_what_may_have_kept_it(self) -> None:
+    def test_request_without_an_end_is_followed_by_possible_reasons(self) -> None:
         lines = (
             '{"time": "1", "text": "host: Host e has started.", "host": "e"}',
             '{"time": "2", "text": "store: Store is lost.", "host": "e"}',
