--- a/libs/serving/ruddersaddle_serving/entry_hosts.py
+++ b/libs/serving/ruddersaddle_serving/entry_hosts.py
@@ -1,4 +1,4 @@
-"""One entry host: its parts, its listeners, its planned stop."""
+"""One entry host: its components, its listeners, its planned stop."""
 
 import logging
 import math
@@ -69,25 +69,25 @@
 MS_PER_S = 1000.0
 BACKLOG = 1024
 KEY_AGE_MARGIN_S = 0.3
-"""A request with a key leaves at the latest this long before the bound on keys taken away, for what
-lies between the check and the last byte sent."""
+"""A request with a key is sent at least this long before the bound on revoked keys is reached, to
+allow for the time between the check and the last byte sent."""
 MAINTENANCE_INTERVAL_S = 1.0
 ACCEPT_AFTER_STOP_S = 2.6
-"""New connections are taken this long after the signal to stop: the balancer asks each second and
-needs two misses."""
+"""New connections are accepted for this long after the signal to stop: the load balancer checks
+readiness each second and takes a host out after two failures."""
 GRACE_MARGIN_S = 0.7
-"""A host ends by itself this long before the platform would kill it, counted from the signal."""
+"""A host exits this long before the platform would kill it; both count from the signal."""
 DRAIN_POLL_S = 0.05
 STOP_CHECK_S = 0.25
-"""Pause between looks for a planned stop; readiness ends at once, with the signal itself."""
+"""Interval of checks for a planned stop; readiness ends at once, with the signal itself."""
 RETRY_BUDGET_SHARE = 0.75
-"""Share of the installation's retry bound that all hosts together use: hosts see unequal shares of
-the requests, and the bound counts them all."""
+"""Share of the installation's retry bound that all hosts together use: the bound counts all
+requests, while each host sees a different share of them."""
 
 
 @dataclass(frozen=True)
 class ServedPort:
-    """A listener, the task of its server, and the tasks of its connections."""
+    """A listener, its server's task, and the pool of its connections' tasks."""
 
     listener: LastingListener
     server: GreenThread
@@ -95,7 +95,7 @@
 
 
 class EntryHost:
-    """The program of one host."""
+    """One entry host: wires its components together, serves callers, and stops as planned."""
 
     def __init__(
         self,
@@ -140,12 +140,12 @@
     def from_settings(
         cls, settings: Settings, store: MetadataStore, wire: Wire, engines: Engines
     ) -> "EntryHost":
-        """Return a host that is not started yet, as a new incarnation."""
+        """Return a host that has not started yet, with a new incarnation."""
         incarnation = new_incarnation(HostId(settings.text("host.id")))
         return cls(settings, store, wire, engines, incarnation)
 
     def apply(self, settings: Settings) -> None:
-        """Take new settings; addresses and ids stay until the next start."""
+        """Apply new settings; addresses and ids stay the same until the next start."""
         self.settings = settings
         self.forwarder.key_age_max_s = self.key_age_max_s
         self.forwarder.placement.version_bound_s = self.weights_s
@@ -155,10 +155,10 @@
 
     @property
     def key_age_max_s(self) -> float:
-        """Oldest confirmation of the configuration that lets a caller's key in, in seconds.
+        """Highest age of the configuration's confirmation at which a caller's key is accepted.
 
-        Where the bound is not strict, keys stay valid while the metadata store is away: every
-        caller was refused for 4 s of an outage of 8 s.
+        If the bound is not strict, keys stay valid while the metadata store is unavailable: with a
+        strict bound, every caller was refused for 4 s of an outage of 8 s.
         """
         if not self.settings.flag("bounds.key_end_strict"):
             return math.inf
@@ -166,7 +166,7 @@
 
     @property
     def weights_s(self) -> float:
-        """Bound on replaced weights, in seconds."""
+        """Bound on the use of replaced weights, in seconds."""
         return self.settings.number("bounds.weights_ms") / MS_PER_S
 
     def _make_hosts(self, settings: Settings) -> Hosts:
@@ -232,7 +232,7 @@
         )
 
     def _apply_report(self, upstream: UpstreamId, report: SelfReport) -> None:
-        """Take what an upstream says of itself in its answer to a call of this host's own."""
+        """Apply what an upstream reports of itself in its answer to this host's own call."""
         tracker = self.trackers.by_id.get(upstream)
         notice = None if tracker is None else tracker.hear(report, None, is_ordinary=False)
         if notice is not None:
@@ -241,10 +241,10 @@
     def _broadcast_notice(self, notice: Notice) -> None:
         self.neighbours.loads.tell(notice)
 
-    # Running
+    # Serving
 
     def serve(self) -> None:
-        """Run until a planned stop has ended; a fault that ends the host is told before."""
+        """Run until a planned stop has ended; an exception that ends the host is logged before."""
         try:
             self._serve()
         except Exception:
@@ -315,7 +315,7 @@
     # Readiness, metrics
 
     def is_ready(self) -> bool:
-        """Return whether the balancer should send callers here."""
+        """Return whether the load balancer should send callers here."""
         if self.stopping or self.publications.table is None or not self.upstreams.complete:
             return False
         return self.publications.age_s < self.key_age_max_s
@@ -334,21 +334,25 @@
         suspects = len(records.by_fingerprint)
         opened = sum(each.connections.opened for each in self.trackers.by_id.values())
         gauges = (
-            ("requests_active", "requests under way", self.front.active),
-            ("configuration_version", "version in force", self.publications.version),
-            ("configuration_age_seconds", "age of its confirmation", self.publications.age_s),
-            ("store_era", "era of the store", self.store.eras.newest),
-            ("store_returns", "its returns from a copy", self.store.eras.returns),
-            ("configuration_awaited", "versions that the store lost", self._awaited_count()),
+            ("requests_active", "requests being served", self.front.active),
+            ("configuration_version", "configuration version in force", self.publications.version),
+            (
+                "configuration_age_seconds",
+                "seconds since its confirmation",
+                self.publications.age_s,
+            ),
+            ("store_era", "epoch of the store", self.store.eras.newest),
+            ("store_returns", "restores of the store from a copy", self.store.eras.returns),
+            ("configuration_awaited", "versions lost by the store", self._awaited_count()),
             ("upstreams", "entries of upstreams", len(self.upstreams.by_id)),
             (
                 "upstreams_cold",
-                "upstreams that bear few requests yet",
+                "upstreams that are still cold",
                 self.upstream_shares.count_cold(),
             ),
-            ("upstreams_limited", "upstreams that name a limit", self._limited_count()),
-            ("upstreams_leaving", "upstreams that take no new work", self._leaving_count()),
-            ("upstreams_resting", "upstreams that want nothing now", self._backing_off_count()),
+            ("upstreams_limited", "upstreams with a rate limit", self._limited_count()),
+            ("upstreams_leaving", "upstreams that accept no new work", self._leaving_count()),
+            ("upstreams_resting", "upstreams that are backing off", self._backing_off_count()),
             (
                 "upstream_cold_sends",
                 "requests sent to cold upstreams",
@@ -356,25 +360,25 @@
             ),
             (
                 "upstream_limited_sends",
-                "requests sent to limited ones",
+                "requests sent to upstreams with a rate limit",
                 self.upstream_shares.limited_sent,
             ),
-            ("halls_evacuated", "halls whose upstreams get nothing", self._evacuated_count()),
+            ("halls_evacuated", "evacuated halls", self._evacuated_count()),
             (
                 "upstream_entries_unusable",
-                "entries read that name none",
+                "upstream entries that were invalid",
                 self.upstream_follower.unusable,
             ),
             ("upstream_connections_opened", "connections opened", opened),
-            ("ready", "1 if the balancer should send callers here", self.is_ready()),
+            ("ready", "1 if the load balancer should send callers", self.is_ready()),
             ("hosts_known", "hosts, this one included", self.neighbours.hosts.count),
             ("peer_sent_bytes", "bytes sent to peers", self.neighbours.peers.sent_bytes),
-            ("upstreams_silent", "upstreams that nobody hears of", self._unresponsive_count()),
-            ("upstream_probes", "probes of silent upstreams", self.probes.count),
-            ("crash_suspects", "requests under which an upstream ended", suspects),
-            ("crash_records_shared", "of these, known to all hosts", len(records.shared())),
-            ("crash_suspects_cleared", "suspects that ended whole", records.cleared),
-            ("stood_still_seconds", "standstill since the start", self.stall_monitor.total_s),
+            ("upstreams_silent", "unresponsive upstreams", self._unresponsive_count()),
+            ("upstream_probes", "probes of unresponsive upstreams", self.probes.count),
+            ("crash_suspects", "requests that may have crashed an upstream", suspects),
+            ("crash_records_shared", "suspects known to all hosts", len(records.shared())),
+            ("crash_suspects_cleared", "suspects that completed", records.cleared),
+            ("stood_still_seconds", "seconds stalled since the start", self.stall_monitor.total_s),
         )
         budget = {"spent": self.retry_budget.spent, "denied": self.retry_budget.denied}
         lines = format_gauges(gauges)
@@ -382,13 +386,11 @@
         lines += format_counters("requests_ended", "requests by how they ended", self.front.ends)
         by_size = self.front.sizes.rows()
         lines += format_labelled("requests_by_size", "prompts by size and end", by_size)
-        lines += format_counters("dropped_writes", "log lines, other texts", count_dropped())
+        lines += format_counters("dropped_writes", "dropped log lines and texts", count_dropped())
         lines += format_counters("retries", "retries by outcome", budget)
-        lines += format_counters(
-            "crashes", "broken runs and what followed", self.crash_watch.counts
-        )
+        lines += format_counters("crashes", "broken runs by outcome", self.crash_watch.counts)
         lines += format_counters("store_calls", "calls to the store", self.store.calls_by_kind)
-        lines += format_counters("contexts", "kept context by action", self.cached_parts.counts)
+        lines += format_counters("contexts", "cached context by action", self.cached_parts.counts)
         lines += format_counters("orders", "orders to engines", self.rollouts.counts)
         lines += format_histograms(self.histograms)
         return "\n".join(lines) + "\n"
@@ -397,9 +399,9 @@
         return len(self.publications.evacuations.in_force())
 
     def _awaited_count(self) -> int:
-        """Return how far the store's configuration is behind the one in force.
+        """Return how many versions the store's configuration is behind the one in force.
 
-        Only hosts that read the store know; others hear of new versions from these.
+        Only hosts that read the store know it; the others receive new versions from these.
         """
         publications = self.publications
         if not publications.stored_version or not self.neighbours.hosts.is_reader():
@@ -423,9 +425,9 @@
     def _handle_signal(self, number: int, _frame: Any) -> None:
         """Begin the planned stop.
 
-        A handler runs in the event loop, at any moment: it sets flags and does nothing else. The
-        line about it is written by the task that carries the stop out. A second signal is counted
-        and changes nothing; the platform counts from the first.
+        A signal handler runs in the event loop at any point, so that it only sets flags. The log
+        line is written by the task that carries out the stop. Further signals are counted and have
+        no other effect; the platform's grace period counts from the first one.
         """
         self.signals.record(number)
         self.stopping = True
@@ -434,20 +436,20 @@
         self.replaced_parts.stopping = True
 
     def _drain(self, callers: ServedPort) -> None:
-        """Serve on until the balancer has noticed, then until no request is under way."""
+        """Accept connections until the load balancer has noticed, then finish open requests."""
         fields = {"active": self.front.active, **self.signals.fields()}
         logger.info("Planned stop begins.", extra=fields)
         eventlet.spawn(self.neighbours.list.leave)
         self._sleep_until(self.signals.first_at + ACCEPT_AFTER_STOP_S)
-        # One round of the loop takes what arrived while the process got no processor.
+        # One round of the event loop accepts what arrived while the process got no CPU time.
         eventlet.sleep(0)
         callers.pool.keep_waiting()
-        # The runner closes idle connections as it ends, and goes on with the others.
+        # The server closes idle connections when it is killed, and goes on with the others.
         callers.server.kill()
         callers.listener.close()
         latest = self.signals.first_at + self.settings.number("requests.grace_s") - GRACE_MARGIN_S
-        # The runner ends after its last connection. Requests not read yet, and the last bytes of a
-        # stream, don't count as active.
+        # The server ends after its last connection. Requests that are not read yet, and the last
+        # bytes of a stream, do not count as active.
         while (self.front.active or not callers.server.dead) and clocks.now_s() < latest:
             eventlet.sleep(DRAIN_POLL_S)
         fields = cut_fields(self.front.under_way())
