--- a/libs/serving/ruddersaddle_serving/settings_watches.py
+++ b/libs/serving/ruddersaddle_serving/settings_watches.py
@@ -1,4 +1,4 @@
-"""Reads the settings again on SIGHUP, and when their file has changed without any signal."""
+"""Reloads the settings on SIGHUP, and when their file changes without a signal."""
 
 import logging
 import signal
@@ -13,18 +13,18 @@
 logger = logging.getLogger(__name__)
 
 POLL_INTERVAL_S = 0.5
-"""Pause between looks at the file's time of change; it is read when two looks agree, so a file that
-was seen half written is not taken."""
+"""Interval at which the file's modification time is polled. The file is read once two polls agree,
+so that a partially written file is not read."""
 POLLS_MAX = 4
-"""Looks after a signal until the file is read though it goes on changing."""
+"""Polls after a signal until the file is read although it keeps changing."""
 
 Read = Callable[[], Settings | list[Problem]]
 Stamp = tuple[int, int]
-"""Time of change in nanoseconds, and size in bytes."""
+"""Modification time in nanoseconds, and size in bytes."""
 
 
 class SettingsWatch:
-    """Keeps the settings in force; `apply` gets new ones that were checked."""
+    """Holds the current settings; `apply` is called with new settings that are valid."""
 
     def __init__(self, path: str, read: Read) -> None:
         self.path = Path(path)
@@ -34,12 +34,13 @@
         self._last_seen: Stamp | None = None
         self._applied: Stamp | None = None
         self._polls = 0
-        """Looks since a signal that the file went on changing."""
+        """Polls since a signal."""
 
     def load_initial(self) -> Settings | list[Problem]:
-        """Take SIGHUP and return the first settings.
+        """Install the handler of SIGHUP and return the first settings, or the problems in them.
 
-        The file is looked at before it is read, so that a change while it is read is seen later.
+        The file's modification time is taken before the file is read, so that a change during the
+        read is noticed later.
         """
         signal.signal(signal.SIGHUP, self._handle_signal)
         self._last_seen = self._applied = self._stamp()
@@ -59,10 +60,10 @@
         try:
             status = self.path.stat()
         except OSError:
-            # The file may be away for a moment while it is replaced.
+            # The file may be missing for a moment while it is replaced.
             return None
         if status.st_size == 0:
-            # Nor is it there before its first byte is written; read now, it would set all defaults.
+            # An empty file counts as missing: reading it would reset every setting to its default.
             return None
         return status.st_mtime_ns, status.st_size
 
@@ -72,10 +73,10 @@
             self.poll(apply)
 
     def poll(self, apply: Callable[[Settings], None]) -> None:
-        """Read the file if there is a reason to, once it is stable.
+        """Read the file after a signal or a change, once it is stable.
 
-        After a signal it is read at the last of `POLLS_MAX` polls: beside a file written each
-        0.3 s a signal was not served in 10 s.
+        After a signal it is read at the last of `POLLS_MAX` polls even if it is not stable:
+        otherwise a file that is written every 0.3 s delays the reload by more than 10 s.
         """
         stamp = self._stamp()
         if stamp is None:
@@ -97,10 +98,10 @@
         found = self.read()
         if isinstance(found, list):
             for problem in found:
-                logger.error("New settings are not taken. %s", problem)
+                logger.error("New settings are rejected. %s", problem)
             return
         before = self.settings.by_name
         changed = sorted(name for name, value in found.by_name.items() if value != before[name])
-        logger.info("Settings were read again. Changed: %s.", ", ".join(changed) or "nothing")
+        logger.info("Settings were reloaded. Changed: %s.", ", ".join(changed) or "nothing")
         self.settings = found
         apply(found)
--- a/libs/serving/ruddersaddle_serving/tests/test_settings_watches.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_settings_watches.py
@@ -1,8 +1,8 @@
-"""Settings are taken from a file that rests, after any change of it, and not from an empty one.
+"""Tests that settings are reloaded from a stable file, after any change, and not from an empty one.
 
-A file that was empty as a host looked at it set eight of its settings to their defaults, the time
-for a planned stop among them; one that was half written at that moment was refused or taken by
-chance. A change while the first settings were read was never seen.
+Guards against a file that is empty when it is polled, which reset eight settings to their defaults
+(the time for a planned stop among them); against a partially written file, which was rejected or
+applied by chance; and against missing a change during the first read.
 """
 
 import tempfile
@@ -24,18 +24,18 @@
         self.path = Path(folder.name) / "host.ini"
         self.path.write_text(TEXT % 6)
         self.watch = SettingsWatch(str(self.path), self.read)
-        self.taken: list[float] = []
+        self.applied: list[float] = []
 
     def read(self) -> Settings | list[Problem]:
         return read_settings(str(self.path), {}, [])
 
     def poll(self, times: int = 1) -> list[float]:
-        """Look at the file and return the values of all settings that were taken."""
+        """Poll the file and return the values of all settings that were applied."""
         for _ in range(times):
-            self.watch.poll(lambda settings: self.taken.append(settings.number(GRACE)))
-        return self.taken
+            self.watch.poll(lambda settings: self.applied.append(settings.number(GRACE)))
+        return self.applied
 
-    def test_change_is_taken_once_the_file_rests(self) -> None:
+    def test_change_is_applied_once_the_file_is_stable(self) -> None:
         self.watch.load_initial()
         self.path.write_text((TEXT % 12)[:-2])
         self.assertEqual(self.poll(), [])
@@ -43,7 +43,7 @@
         self.assertEqual(self.poll(), [])
         self.assertEqual(self.poll(3), [12.0])
 
-    def test_change_while_the_first_settings_are_read_is_taken(self) -> None:
+    def test_change_during_the_first_read_is_applied(self) -> None:
         def read_and_change() -> Settings | list[Problem]:
             found = self.read()
             self.path.write_text(TEXT % 12)
@@ -54,30 +54,30 @@
         self.watch.read = self.read
         self.assertEqual(self.poll(3), [12.0])
 
-    def test_signal_is_kept_while_the_file_is_away(self) -> None:
+    def test_signal_is_kept_while_the_file_is_missing(self) -> None:
         self.watch.load_initial()
         self.watch.signalled = True
-        away = self.path.rename(self.path.with_suffix(".away"))
+        moved = self.path.rename(self.path.with_suffix(".moved"))
         self.assertEqual(self.poll(3), [])
-        away.rename(self.path)
+        moved.rename(self.path)
         self.assertEqual(self.poll(3), [6.0])
 
-    def test_empty_file_is_not_taken(self) -> None:
+    def test_empty_file_is_not_applied(self) -> None:
         self.watch.load_initial()
         self.path.write_text("")
         self.assertEqual(self.poll(3), [])
         self.path.write_text(TEXT % 12)
         self.assertEqual(self.poll(3), [12.0])
 
-    def test_signal_is_served_though_the_file_never_rests(self) -> None:
-        """A file written each 0.3 s was not read in 10 s after a signal."""
+    def test_signal_is_handled_although_the_file_keeps_changing(self) -> None:
+        """Guards against a file written every 0.3 s not being read within 10 s after a signal."""
         self.watch.load_initial()
         self.watch.signalled = True
         for number in range(10, 10 + POLLS_MAX):
-            self.assertEqual(self.taken, [])
+            self.assertEqual(self.applied, [])
             self.path.write_text(TEXT % number + "#" * number)
             self.poll()
-        self.assertEqual(self.taken, [10.0 + POLLS_MAX - 1])
+        self.assertEqual(self.applied, [10.0 + POLLS_MAX - 1])
 
 
 if __name__ == "__main__":
