--- a/libs/serving/ruddersaddle_serving/tasks.py
+++ b/libs/serving/ruddersaddle_serving/tasks.py
@@ -1,4 +1,4 @@
-"""Tasks that run as long as the process does."""
+"""Background tasks that run for the life of the process."""
 
 import logging
 from collections.abc import Callable
@@ -8,12 +8,12 @@
 
 logger = logging.getLogger(__name__)
 
-AGAIN_S = 1.0
-"""Pause before a task that failed is begun again."""
+RESTART_DELAY_S = 1.0
+"""Pause before a failed task is restarted."""
 
 
 def spawn_forever(name: str, function: Callable[..., Any], *args: Any) -> None:
-    """Run a function that has no end; a fault in it is logged, and it is begun again."""
+    """Run a function that does not return; if it raises, log the exception and restart it."""
     eventlet.spawn(_run, name, function, args)
 
 
@@ -26,4 +26,4 @@
         else:
             logger.info("Task %s has ended.", name)
             return
-        eventlet.sleep(AGAIN_S)
+        eventlet.sleep(RESTART_DELAY_S)
--- a/libs/serving/ruddersaddle_serving/tests/test_tasks.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_tasks.py
@@ -1,4 +1,4 @@
-"""Tests of tasks that run as long as the process."""
+"""Tests of background tasks that run for the life of the process."""
 
 import unittest
 from unittest import mock
@@ -10,7 +10,7 @@
 
 
 class SpawnForeverTest(unittest.TestCase):
-    def test_fault_is_logged_and_the_task_goes_on(self) -> None:
+    def test_exception_is_logged_and_the_task_restarted(self) -> None:
         done = Event()
         calls = []
 
@@ -20,7 +20,10 @@
                 raise KeyError("first")
             done.send(True)
 
-        with mock.patch.object(tasks, "AGAIN_S", 0.0), self.assertLogs(tasks.logger) as logs:
+        with (
+            mock.patch.object(tasks, "RESTART_DELAY_S", 0.0),
+            self.assertLogs(tasks.logger) as logs,
+        ):
             tasks.spawn_forever("work", work, "x")
             with eventlet.Timeout(5):
                 done.wait()
