--- a/libs/serving/ruddersaddle_serving/garbage_collections.py
+++ b/libs/serving/ruddersaddle_serving/garbage_collections.py
@@ -1,8 +1,8 @@
-"""When unreachable objects are collected, and on which thread.
+"""Controls when cyclic garbage is collected, and on which thread.
 
-The interpreter collects on whichever thread happens to allocate, also on those of the messaging
-library. The ends of objects run there with it, and one that takes a green lock, as each log line
-does, waits for good; closing a socket then waits for it, and the whole host stands still.
+The interpreter collects on whichever thread happens to allocate, including those of the messaging
+library, and runs finalizers there. A finalizer that takes a green lock, as each log line does, then
+blocks for ever; closing a socket waits for that thread, and the whole host stalls.
 """
 
 import gc
@@ -11,20 +11,21 @@
 
 from ruddersaddle_serving.tasks import spawn_forever
 
-PAUSE_S = 1.0
-"""Pause between collections of young objects. At 560 requests a second, as many as one process
-serves, one takes up to 20 ms, one of all objects 45 ms (the interpreter's own: 50 ms), and all of
-25 s together 0.46 s of processor in place of 1.30 s; the peak of memory is 47.0 MB for 44.5."""
-ROUNDS = 20
-"""Each so many collections one of all objects is made."""
-YOUNG = 1
-"""Objects that outlived at most one collection before."""
+COLLECT_INTERVAL_S = 1.0
+"""Interval between collections of young objects. At 560 requests a second, the most that one
+process serves, a young collection takes up to 20 ms and a full one 45 ms (50 ms if the interpreter
+triggers it). All collections in 25 s take 0.46 s of CPU time instead of 1.30 s, and peak memory is
+47.0 MB instead of 44.5 MB."""
+YOUNG_PER_FULL = 20
+"""Young collections before each full one."""
+YOUNG_GENERATION = 1
+"""Generation of objects that have survived at most one collection."""
 
 
 def start_collecting() -> None:
-    """Collect on this thread alone from now on, in a task.
+    """Start the task that collects garbage, and disable collection on all other threads.
 
-    What stands now stays as long as the process, and is not looked through again.
+    Objects that exist now are frozen: they live as long as the process and are not scanned again.
     """
     gc.collect()
     gc.freeze()
@@ -34,7 +35,7 @@
 
 def _collect() -> None:
     while True:
-        for _ in range(ROUNDS):
-            eventlet.sleep(PAUSE_S)
-            gc.collect(YOUNG)
+        for _ in range(YOUNG_PER_FULL):
+            eventlet.sleep(COLLECT_INTERVAL_S)
+            gc.collect(YOUNG_GENERATION)
         gc.collect()
--- a/libs/serving/ruddersaddle_serving/tests/garbage_churns.py
+++ b/libs/serving/ruddersaddle_serving/tests/garbage_churns.py
@@ -1,4 +1,4 @@
-"""Program for a test: peers that come and go beside garbage whose end writes a line to the log."""
+"""Test program: peers come and go while finalizers of cyclic garbage write log lines."""
 
 import gc
 import logging
@@ -7,7 +7,7 @@
 
 from ruddersaddle_serving.tests.peer_churns import SWITCH_S, churn
 
-# The import above makes the library's calls green; what follows has to see them.
+# The import above patches the standard library for eventlet; the imports below rely on it.
 
 # isort: split
 import eventlet
@@ -19,14 +19,14 @@
 
 logger = logging.getLogger(__name__)
 get_thread = patcher.original("_thread").get_ident
-"""The system's own thread; the green library's tells tasks apart."""
+"""Returns the id of the OS thread; the patched function returns that of the green thread."""
 
 
 class Litter:
-    """Garbage that only the collector finds, as it refers to itself."""
+    """Garbage that only the cyclic collector finds, since it refers to itself."""
 
     def __init__(self) -> None:
-        self.itself = self
+        self.reference = self
         self.task = self._run()
         next(self.task)
 
@@ -38,7 +38,7 @@
 
 
 def make_litter() -> None:
-    """Make garbage all the time, and write lines."""
+    """Create garbage and write log lines continuously."""
     while True:
         Litter()
         logger.info("A line.")
@@ -46,7 +46,7 @@
 
 
 def main(ports: list[str]) -> None:
-    """Let peers come and go; print how many collections ran on another thread than this."""
+    """Let peers come and go; print how many collections ran on other threads than this one."""
     own = get_thread()
     foreign: list[str] = []
     gc.callbacks.append(lambda phase, _: get_thread() == own or foreign.append(phase))
