--- a/libs/serving/ruddersaddle_serving/tests/crash_replays.py
+++ b/libs/serving/ruddersaddle_serving/tests/crash_replays.py
@@ -1,8 +1,8 @@
-"""Replays engines that crash in numbers and come back cold.
+"""Simulates engines of which many crash at once and restart cold.
 
-A cold engine that gets many more requests in a second than it bears falls over and starts cold
-anew. Hosts learn of a new start some time after it; what they send to the one before is refused by
-whoever has its address.
+A cold engine that receives many more requests in a second than it can serve crashes again and
+restarts cold. Hosts learn of a new instance only after some time; requests that they send to the
+previous one are refused by the instance that has its address now.
 """
 
 from collections import deque
@@ -26,29 +26,29 @@
 from ruddersaddle_serving.upstream_shares import JOIN_S
 
 REFUSED_S = 0.002
-"""Time until a connection is refused, or another start answers that it is not the one."""
+"""Time until a connection is refused, or another instance answers that it is not the target."""
 
 
 class Crashes(msgspec.Struct, frozen=True):
-    """Crashes of a share of the engines, and how engines are after one. Times are in seconds."""
+    """Crashes of a share of the engines, and how engines behave after one. Times are in seconds."""
 
     moments: tuple[float, ...]
     share: float = 0.3
     down_s: float = 1.0
     cold_s: float = 3.0
     cold_per_s: float = 18.0
-    """Requests a second that a cold engine bears."""
-    falls_above: int = 32
-    """A cold engine that gets more in any second falls over."""
+    """Requests a second that a cold engine can serve."""
+    cold_crash_above: int = 32
+    """A cold engine that receives more requests than this in any second crashes again."""
     lag_s: float = 0.9
-    """Mean time until a host knows of a new start."""
-    cut_off: float = 0.0
-    """Share of the hosts that learn of new starts after `cut_off_lag_s` only."""
-    cut_off_lag_s: float = 8.0
+    """Mean time until a host knows of a new instance."""
+    partitioned: float = 0.0
+    """Share of the hosts that learn of new instances only after `partitioned_lag_s`."""
+    partitioned_lag_s: float = 8.0
 
 
 class CrashEngine(ReplayEngine):
-    """An engine that crashes, and falls over while it is cold."""
+    """An engine that crashes, and crashes again if it is overloaded while cold."""
 
     def __init__(self, replay: "CrashReplay", entry: UpstreamEntry) -> None:
         entry = msgspec.structs.replace(entry, born_ms=0)
@@ -59,7 +59,7 @@
 
     def take(self, visit: "CrashVisit") -> None:
         if self.dark or visit.born_ms != self.entry.born_ms:
-            self.replay.after(REFUSED_S, visit.take_refusal)
+            self.replay.after(REFUSED_S, visit.handle_refusal)
             return
         self.visits.add(visit)
         super().take(visit)
@@ -72,13 +72,13 @@
             self.arrivals.popleft()
         if now >= self.cold_until:
             return
-        self.replay.most_at_cold = max(self.replay.most_at_cold, len(self.arrivals))
-        if len(self.arrivals) > self.replay.crashes.falls_above:
-            self.replay.fallen += 1
+        self.replay.cold_rate_max = max(self.replay.cold_rate_max, len(self.arrivals))
+        if len(self.arrivals) > self.replay.crashes.cold_crash_above:
+            self.replay.cold_crashes += 1
             self.crash()
 
     def crash(self) -> None:
-        """End this start, and with it all that runs; the next one begins empty and cold."""
+        """End this instance and all its runs; the next instance starts empty and cold."""
         if self.dark:
             return
         self.turn_dark()
@@ -87,7 +87,7 @@
         broken, self.visits = self.visits, set()
         for visit in broken:
             visit.runs += 1
-            self.replay.after(REFUSED_S, visit.take_crash)
+            self.replay.after(REFUSED_S, visit.handle_crash)
         self.replay.after(self.replay.crashes.down_s, self._start)
 
     def _start(self) -> None:
@@ -97,13 +97,13 @@
         self.entry = msgspec.structs.replace(self.entry, born_ms=born_ms)
         self.turn_light()
         for number, host in enumerate(self.replay.hosts):
-            is_cut_off = number < crashes.cut_off * len(self.replay.hosts)
-            mean_s = crashes.cut_off_lag_s if is_cut_off else crashes.lag_s
+            is_partitioned = number < crashes.partitioned * len(self.replay.hosts)
+            mean_s = crashes.partitioned_lag_s if is_partitioned else crashes.lag_s
             lag_s = mean_s * (0.5 + self.replay.draw.random())
-            self.replay.after(lag_s, lambda host=host: self._tell(host))
+            self.replay.after(lag_s, lambda host=host: self._announce(host))
 
-    def _tell(self, host: ReplayHost) -> None:
-        """Tell a host of this start, as its entry does."""
+    def _announce(self, host: ReplayHost) -> None:
+        """Make this instance known to a host, as its entry does."""
         left_s = max(0.0, self.cold_until - clocks.now_s())
         entry = msgspec.structs.replace(self.entry, heartbeat=Heartbeat(1, left_s))
         placement = host.placement
@@ -114,28 +114,28 @@
 
 
 class CrashVisit(Visit):
-    """A caller whose request may be cut by a crash; the host then tries another engine once."""
+    """A request that a crash may cut; the host then retries it on another engine."""
 
     def _send(self, choice: Choice) -> None:
         self.born_ms = choice.tracker.entry.born_ms
         super()._send(choice)
 
-    def take_refusal(self) -> None:
-        """Take that nothing ran at the engine; the host tries another one."""
+    def handle_refusal(self) -> None:
+        """Handle that the engine did not run the request; the host tries another engine."""
         if self.ended:
             return
         self._tell(Progress.REPLACED)
-        self._try_another()
+        self._retry_elsewhere()
 
-    def take_crash(self) -> None:
-        """Take that the engine has ended; before its first event the request may run again."""
+    def handle_crash(self) -> None:
+        """Handle that the engine crashed; before its first event the request may run again."""
         self._tell(Progress.ENDED, reach=Reach.NOTHING, failed=True)
         if self.ended:
             self.tally.broken += 1
             if self.began in self.tally.in_time_at:
                 self.tally.in_time_at.remove(self.began)
         else:
-            self._try_another()
+            self._retry_elsewhere()
 
     def take_end(self) -> None:
         super().take_end()
@@ -144,7 +144,7 @@
     def _tell(self, progress: Progress, **fields: object) -> None:
         super()._tell(progress, born_ms=self.born_ms, **fields)
 
-    def _try_another(self) -> None:
+    def _retry_elsewhere(self) -> None:
         self.number = 0
         self.excluded.add(self.upstream)
         self.may_refuse = False
@@ -155,7 +155,7 @@
 
 
 class CrashReplay(Replay):
-    """A load in which engines crash."""
+    """A simulated load during which engines crash."""
 
     engine_class = CrashEngine
     visit_class = CrashVisit
@@ -163,10 +163,10 @@
     def __init__(self, load: Load, crashes: Crashes) -> None:
         super().__init__(load)
         self.crashes = crashes
-        self.fallen = 0
-        """Engines that fell over because they got too much while they were cold."""
-        self.most_at_cold = 0
-        """Most requests that a cold engine got in any second."""
+        self.cold_crashes = 0
+        """Count of crashes of engines that were overloaded while cold."""
+        self.cold_rate_max = 0
+        """Most requests that a cold engine received in any second."""
 
     def _build(self) -> None:
         super()._build()
--- a/libs/serving/ruddersaddle_serving/tests/test_crash_replays.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_crash_replays.py
@@ -1,7 +1,8 @@
-"""Tests of the decisions while a third of the engines crashes twice and comes back cold.
+"""Tests of placement while a third of the engines crashes twice and restarts cold.
 
-The aim: from three seconds after the last crash on, at least 0.9 of what was in time before it is
-in time again; no cold engine gets more than the bound in any second, so that none falls over.
+From three seconds after the last crash on, the rate of requests in time must be at least 0.9 of
+what it was before; no cold engine may receive more than the bound in any second, so that none
+crashes again.
 """
 
 import logging
@@ -31,10 +32,10 @@
     crowd=(0.0, 20.0, 2.1),
 )
 CRASHES = Crashes((3.0, 5.5))
-CALM = (1.0, 3.0)
-AFTER_S = 3.0
-"""From so long after the last crash on it is as before."""
-SHARE = 0.9
+BASELINE = (1.0, 3.0)
+RECOVERY_S = 3.0
+"""Time after the last crash by which the rate of requests in time must have recovered."""
+RECOVERED_SHARE = 0.9
 
 
 class CrashReplaysTest(unittest.TestCase):
@@ -42,45 +43,47 @@
         logging.disable(logging.INFO)
         self.addCleanup(logging.disable, logging.NOTSET)
 
-    def play(self, load: Load, crashes: Crashes) -> CrashReplay:
+    def simulate(self, load: Load, crashes: Crashes) -> CrashReplay:
         replay = CrashReplay(load, crashes)
         began = replay.now
         outcome = replay.run()
-        self.before = outcome.in_time_between(began + CALM[0], began + CALM[1])
-        after = began + crashes.moments[-1] + AFTER_S
+        self.before = outcome.in_time_between(began + BASELINE[0], began + BASELINE[1])
+        after = began + crashes.moments[-1] + RECOVERY_S
         self.after = outcome.in_time_between(after, began + load.length_s)
         self.during = outcome.in_time_between(began + crashes.moments[0], after)
         name = self.id().rpartition(".")[2]
         shares = f"in time {self.before:.2f} {self.during:.2f} {self.after:.2f}"
-        print(f"{name}: {shares}, {replay.fallen} fell over, most {replay.most_at_cold}")
+        print(f"{name}: {shares}, {replay.cold_crashes} cold crashes, rate {replay.cold_rate_max}")
         print(outcome.describe())
         return replay
 
     def check(self, load: Load, crashes: Crashes) -> None:
-        replay = self.play(load, crashes)
-        self.assertLessEqual(replay.most_at_cold, crashes.cold_per_s * 1.5 + 5)
-        self.assertEqual(replay.fallen, 0)
-        self.assertGreaterEqual(self.after, SHARE * self.before)
+        replay = self.simulate(load, crashes)
+        self.assertLessEqual(replay.cold_rate_max, crashes.cold_per_s * 1.5 + 5)
+        self.assertEqual(replay.cold_crashes, 0)
+        self.assertGreaterEqual(self.after, RECOVERED_SHARE * self.before)
 
-    def test_engines_come_back_cold(self) -> None:
+    def test_engines_restart_cold(self) -> None:
         self.check(LOAD, CRASHES)
 
-    def test_hosts_that_learn_late_of_new_starts(self) -> None:
-        self.check(LOAD, msgspec.structs.replace(CRASHES, cut_off=0.35))
+    def test_hosts_that_learn_late_of_new_instances(self) -> None:
+        self.check(LOAD, msgspec.structs.replace(CRASHES, partitioned=0.35))
 
-    def test_engines_that_bear_four_a_second_before_four_hundred_hosts(self) -> None:
+    def test_engines_that_serve_four_a_second_with_four_hundred_hosts(self) -> None:
         kinds = tuple(msgspec.structs.replace(each, per_s=each.per_s * 0.4) for each in KINDS)
         load = msgspec.structs.replace(
             LOAD, kinds=kinds, hosts=400, length_s=8.0, crowd=(0.0, 0.0, 1.0)
         )
-        crashes = msgspec.structs.replace(CRASHES, moments=(3.0,), cold_per_s=4.0, falls_above=11)
+        crashes = msgspec.structs.replace(
+            CRASHES, moments=(3.0,), cold_per_s=4.0, cold_crash_above=11
+        )
         self.check(load, crashes)
 
-    def test_without_shares_engines_fall_over(self) -> None:
-        """The replay shows the fault: all hosts send to what is empty."""
+    def test_engines_crash_again_without_shares(self) -> None:
+        """Checks that the simulation shows the fault: all hosts send to engines that are empty."""
         with mock.patch.object(UpstreamShares, "may_send", return_value=True):
-            replay = self.play(LOAD, CRASHES)
-        self.assertGreater(replay.fallen, 0)
+            replay = self.simulate(LOAD, CRASHES)
+        self.assertGreater(replay.cold_crashes, 0)
 
 
 if __name__ == "__main__":
