--- a/libs/serving/ruddersaddle_serving/crash_shares.py
+++ b/libs/serving/ruddersaddle_serving/crash_shares.py
@@ -204,8 +204,8 @@
         """Record that the records are as new as a request sent at `asked_at`."""
         self.confirmed_at = max(self.confirmed_at, asked_at)
 
-    def handle_store_restore(self) -> None:
-        """Handle that the store was restored from a copy: its records are not known any more."""
+    def record_restore(self) -> None:
+        """Record that the store was restored from a copy: its records are not known any more."""
         self._stored.clear()
 
     def write_missing(self) -> None:
--- a/libs/serving/ruddersaddle_serving/entry_hosts.py
+++ b/libs/serving/ruddersaddle_serving/entry_hosts.py
@@ -120,7 +120,7 @@
         self.upstream_follower = UpstreamFollower(store, self.store_link, self.upstreams)
         self.trackers = Trackers()
         self.hosts = self._make_hosts(settings)
-        self.upstream_shares = UpstreamShares(self.hosts, self.publications, self.upstreams)
+        self.quotas = UpstreamShares(self.hosts, self.publications, self.upstreams)
         self.cached_parts = KeptParts(engines)
         self.retry_budget = RetryBudget(settings.number("bounds.retry_share") * RETRY_BUDGET_SHARE)
         self.publications.listeners += [self.trackers.take_table, self.cached_parts.take_table]
@@ -187,7 +187,7 @@
             self.upstreams,
             self.trackers,
             self.cached_parts,
-            self.upstream_shares,
+            self.quotas,
         )
         self.forwarder = Forwarder(
             placement,
@@ -348,7 +348,7 @@
             (
                 "upstreams_cold",
                 "upstreams that are still cold",
-                self.upstream_shares.count_cold(),
+                self.quotas.count_cold(),
             ),
             ("upstreams_limited", "upstreams with a rate limit", self._limited_count()),
             ("upstreams_leaving", "upstreams that accept no new work", self._leaving_count()),
@@ -356,12 +356,12 @@
             (
                 "upstream_cold_sends",
                 "requests sent to cold upstreams",
-                self.upstream_shares.cold_sent,
+                self.quotas.cold_sent,
             ),
             (
                 "upstream_limited_sends",
                 "requests sent to upstreams with a rate limit",
-                self.upstream_shares.limited_sent,
+                self.quotas.limited_sent,
             ),
             ("halls_evacuated", "evacuated halls", self._evacuated_count()),
             (
--- a/libs/serving/ruddersaddle_serving/store_followers.py
+++ b/libs/serving/ruddersaddle_serving/store_followers.py
@@ -278,4 +278,4 @@
 
     def note_return(self) -> None:
         """What was written since the copy is gone."""
-        self.shares.handle_store_restore()
+        self.shares.record_restore()
