--- a/libs/serving/ruddersaddle_serving/crash_records.py
+++ b/libs/serving/ruddersaddle_serving/crash_records.py
@@ -19,7 +19,7 @@
 import msgspec
 
 from ruddersaddle_serving.fingerprints import Fingerprint
-from ruddersaddle_serving.upstream_entries import UpstreamStart
+from ruddersaddle_serving.upstream_entries import UpstreamInstance
 from ruddersaddle_serving.upstream_lists import REVISION_BITS
 
 logger = logging.getLogger(__name__)
@@ -48,7 +48,7 @@
 class Crash(msgspec.Struct, frozen=True, array_like=True):
     """An upstream instance that ended without notice, and the requests it ran or had queued."""
 
-    instance: UpstreamStart
+    instance: UpstreamInstance
     fingerprints: tuple[Fingerprint, ...]
 
 
@@ -56,7 +56,7 @@
     """The upstream instances that crashed while running one request."""
 
     fingerprint: Fingerprint
-    instances: tuple[UpstreamStart, ...]
+    instances: tuple[UpstreamInstance, ...]
     last_ms: int
     """Time of the last crash."""
 
@@ -80,7 +80,7 @@
         spare_ms = self.until_ms - self.last_ms if self.is_refusal else 0
         return now_ms >= self.until_ms + spare_ms
 
-    def with_instances(self, instances: Iterable[UpstreamStart], last_ms: int) -> "CrashRecord":
+    def with_instances(self, instances: Iterable[UpstreamInstance], last_ms: int) -> "CrashRecord":
         """Return the record with further crashes.
 
         Which crashes are kept does not depend on the order in which a host receives them, so that
@@ -103,7 +103,7 @@
         self._completed_at: dict[Fingerprint, int] = {}
         """Requests that completed within `RECENT_COMPLETION_MS`, the latest last."""
         self._cleared_at: dict[Fingerprint, int] = {}
-        self._cause_by_instance: dict[UpstreamStart, Fingerprint] = {}
+        self._cause_by_instance: dict[UpstreamInstance, Fingerprint] = {}
         """Instances whose crash is attributed to a refused request."""
 
     # Observations
@@ -202,7 +202,7 @@
         return record is not None and record.is_refusal
 
     def _extend(
-        self, fingerprint: Fingerprint, instances: Iterable[UpstreamStart], last_ms: int
+        self, fingerprint: Fingerprint, instances: Iterable[UpstreamInstance], last_ms: int
     ) -> CrashRecord:
         known = self.by_fingerprint.get(fingerprint)
         if known is None:
--- a/libs/serving/ruddersaddle_serving/crash_shares.py
+++ b/libs/serving/ruddersaddle_serving/crash_shares.py
@@ -28,7 +28,7 @@
 from ruddersaddle_serving.peers import Peers
 from ruddersaddle_serving.ports import MetadataStore, Record, Topic
 from ruddersaddle_serving.tasks import spawn_forever
-from ruddersaddle_serving.upstream_entries import UpstreamStart
+from ruddersaddle_serving.upstream_entries import UpstreamInstance
 
 logger = logging.getLogger(__name__)
 
@@ -71,7 +71,7 @@
     """Crashes and cleared requests that go into the next message."""
 
     def __init__(self) -> None:
-        self.fingerprints_by_instance: dict[UpstreamStart, dict[Fingerprint, None]] = {}
+        self.fingerprints_by_instance: dict[UpstreamInstance, dict[Fingerprint, None]] = {}
         self.cleared: dict[Fingerprint, None] = {}
 
 
@@ -149,7 +149,7 @@
             for instance, found in pending.fingerprints_by_instance.items()
         )
         update = CrashUpdate(self.hosts.own.address, crashes, tuple(pending.cleared), hop)
-        self.peers.tell_all(self._targets(hop), update)
+        self.peers.broadcast(self._targets(hop), update)
 
     @property
     def _relays_for_hall(self) -> bool:
--- a/libs/serving/ruddersaddle_serving/crash_watches.py
+++ b/libs/serving/ruddersaddle_serving/crash_watches.py
@@ -17,7 +17,7 @@
 from ruddersaddle_serving.fingerprints import Fingerprint
 from ruddersaddle_serving.ports import Engines, Presence
 from ruddersaddle_serving.trackers import Tracker
-from ruddersaddle_serving.upstream_entries import UpstreamStart
+from ruddersaddle_serving.upstream_entries import UpstreamInstance
 from ruddersaddle_serving.upstream_lists import UpstreamList
 
 logger = logging.getLogger(__name__)
@@ -56,7 +56,7 @@
         self.counts = {"crash": 0, "reset": 0, "refused": 0}
         """Upstreams that crashed while running requests of this host, upstreams that were still
         alive after a run broke off, and requests that were refused because they crash upstreams."""
-        self._broken_by_instance: dict[UpstreamStart, dict[Fingerprint, None]] = {}
+        self._broken_by_instance: dict[UpstreamInstance, dict[Fingerprint, None]] = {}
 
     # Decisions
 
@@ -105,18 +105,18 @@
         if listed is None or listed.leaving:
             # A planned stop: the upstream announced it, or withdrew its entry before it stopped.
             return
-        is_probed = entry.start in self._broken_by_instance
-        broken = self._broken_by_instance.setdefault(entry.start, {})
+        is_probed = entry.instance in self._broken_by_instance
+        broken = self._broken_by_instance.setdefault(entry.instance, {})
         if len(broken) < FINGERPRINTS_MAX:
             broken[fingerprint] = None
         if not is_probed:
-            eventlet.spawn(self._check_instance, tracker, entry.start)
+            eventlet.spawn(self._check_instance, tracker, entry.instance)
 
     def is_pending(self, fingerprint: Fingerprint) -> bool:
         """Return whether an upstream is being probed on which a run of this request broke off."""
         return any(fingerprint in broken for broken in self._broken_by_instance.values())
 
-    def _check_instance(self, tracker: Tracker, instance: UpstreamStart) -> None:
+    def _check_instance(self, tracker: Tracker, instance: UpstreamInstance) -> None:
         try:
             has_crashed = self._has_crashed(tracker, instance)
         finally:
@@ -130,14 +130,14 @@
         logger.warning("Upstream %s crashed with %d runs.", instance, len(broken), extra=fields)
         self.notify_crash(Crash(instance, broken))
 
-    def _has_crashed(self, tracker: Tracker, instance: UpstreamStart) -> bool:
+    def _has_crashed(self, tracker: Tracker, instance: UpstreamInstance) -> bool:
         down_count = 0
         for pause_s in PROBE_PAUSES_S:
             eventlet.sleep(pause_s)
-            if tracker.is_replaced or tracker.entry.start != instance:
+            if tracker.is_replaced or tracker.entry.instance != instance:
                 return True
             match self.engines.presence(tracker.entry.address, instance):
-                case Presence.HERE:
+                case Presence.PRESENT:
                     return False
                 case Presence.REPLACED:
                     return True
--- a/libs/serving/ruddersaddle_serving/probes.py
+++ b/libs/serving/ruddersaddle_serving/probes.py
@@ -103,9 +103,9 @@
     def probe(self, tracker: Tracker) -> None:
         """Probe an upstream, and send the result to the other hosts."""
         self.count += 1
-        presence = self.engines.presence(tracker.entry.address, tracker.entry.start)
+        presence = self.engines.presence(tracker.entry.address, tracker.entry.instance)
         match presence:
-            case Presence.HERE:
+            case Presence.PRESENT:
                 self._record_reached(tracker)
             case Presence.REPLACED:
                 self._notify(tracker, Progress.REPLACED)
@@ -118,5 +118,5 @@
         self._notify(tracker, Progress.REACHED)
 
     def _notify(self, tracker: Tracker, progress: Progress) -> None:
-        start = tracker.entry.start
+        start = tracker.entry.instance
         self.notify(Notice(start.id, 0, progress, born_ms=start.born_ms))
--- a/libs/serving/ruddersaddle_serving/tests/test_crash_watches.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_crash_watches.py
@@ -61,11 +61,11 @@
         self.assertEqual(self.count_crashes(Presence.UNKNOWN, Presence.REPLACED), 1)
 
     def test_upstream_that_answers_has_only_lost_a_connection(self) -> None:
-        self.assertEqual(self.count_crashes(Presence.HERE), 0)
+        self.assertEqual(self.count_crashes(Presence.PRESENT), 0)
         self.assertEqual(self.watch.counts["reset"], 1)
 
     def test_upstream_at_its_connection_limit_resets_one_probe(self) -> None:
-        self.assertEqual(self.count_crashes(Presence.DOWN, Presence.HERE), 0)
+        self.assertEqual(self.count_crashes(Presence.DOWN, Presence.PRESENT), 0)
 
     def test_unreachable_upstream_is_no_crash(self) -> None:
         self.assertEqual(self.count_crashes(Presence.UNKNOWN), 0)
--- a/libs/serving/ruddersaddle_serving/tests/test_upstream_shares.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_upstream_shares.py
@@ -73,7 +73,7 @@
             hosts = Hosts(HostId(host), HostRecord(f"{host}:1", HALL), [])
             hosts.replace(records(known))
             publications = Publications()
-            publications.take(Published(1, pools=(Pool(POOL, None, COLD_S, per_s),)))
+            publications.apply(Published(1, pools=(Pool(POOL, None, COLD_S, per_s),)))
             upstreams = UpstreamList()
             upstreams.put(self.upstream)
             self.shares.append(UpstreamShares(hosts, publications, upstreams))
@@ -81,7 +81,7 @@
 
     def turn_cold(self, cold_s: float = COLD_S) -> None:
         for each in self.shares:
-            each.upstreams.cold.take(self.upstream.start, Heartbeat(2, cold_s))
+            each.upstreams.cold.take(self.upstream.instance, Heartbeat(2, cold_s))
 
     def send(self) -> int:
         """Let each host send as much as it may; return how many requests leave."""
