--- a/libs/state/ruddersaddle_state/claims.py
+++ b/libs/state/ruddersaddle_state/claims.py
@@ -1,9 +1,9 @@
-"""The fold of the claims stream: which attempt may run a call that may not be repeated.
+"""The fold of the claims stream: decides which attempt may run a call that must run at most once.
 
-The rule is compare-and-set on what the caller was told: a claim names the retry token of its
-caller's last `not_run` answer, and is refused if a later void stands. A void that is read back
-accepted therefore stops every attempt before it, wherever it is stuck (the paper on TCC calls
-this anti-suspension). Keys older than the memory are refused for good, by the log's own time.
+The rule is compare-and-set on what the caller was told: a claim carries the retry token of its
+caller's last `not_run` answer, and is rejected if a later void was accepted. A void that is read
+back as accepted therefore stops every earlier attempt, wherever it is delayed (the anti-suspension
+of Try-Confirm/Cancel). Keys older than `memory_s` by the log's own time are refused for good.
 """
 
 import time
@@ -16,7 +16,12 @@
 
 
 class Rule(Enum):
-    """Rules for claims that were weighed; the product uses `TOLD`, the model checks them all."""
+    """Rules for accepting a claim of a free key; the model checks all of them.
+
+    `FIRST` accepts the first claim. `READ` compares with the position up to which the claiming
+    host has read the stream. `FINAL` never frees a key after a void, so that not even a retry can
+    run. `RETRY_TOKEN`, which the product uses, compares with the token that the caller was given.
+    """
 
     FIRST = "first"
     READ = "read"
@@ -25,7 +30,7 @@
 
 
 class KeyState(msgspec.Struct):
-    """What is known of one key: who may run it, since when, and the key's own time."""
+    """State of one key: the attempt that holds it, its host, its version and the key's own date."""
 
     holder: RecordId | None
     owner: Incarnation | None
@@ -35,7 +40,7 @@
 
 
 class Claims:
-    """The state of every remembered key as of one position of the claims stream."""
+    """The state of every unexpired key as of one position of the claims stream."""
 
     def __init__(self, memory_s: float, skew_s: float, rule: Rule = Rule.RETRY_TOKEN) -> None:
         self.memory_s = memory_s
@@ -47,7 +52,7 @@
         self.history_since = 0.0
 
     def begin(self, first: Position, gap: bool) -> None:
-        """Start reading at `first`; after a gap, keys from before it can't be judged here."""
+        """Start reading at `first`; after a gap, claims of earlier keys cannot be decided here."""
         if gap:
             self.history_since = time.time()
 
@@ -105,7 +110,7 @@
         return state
 
     def is_expired(self, dated: float) -> bool:
-        """Return whether a key of this date is past the memory; it never runs again."""
+        """Return whether a key of this date has expired; its call never runs again."""
         return dated < self.now - self.memory_s
 
     def has_full_history(self, dated: float) -> bool:
@@ -118,10 +123,10 @@
         return None if state is None else state.owner
 
     def _prune(self) -> None:
-        """Drop forgotten keys, from the one that was seen first on.
+        """Drop expired keys, in the order in which they were first seen.
 
-        One that is younger than those behind it only keeps them a little longer: whether a key is
-        forgotten is decided by its date, not by its being here.
+        A key that is younger than those behind it only delays their removal: whether a key has
+        expired is decided by its date, not by its presence.
         """
         while self.by_key:
             key, state = next(iter(self.by_key.items()))
--- a/libs/state/ruddersaddle_state/tests/test_claims.py
+++ b/libs/state/ruddersaddle_state/tests/test_claims.py
@@ -1,4 +1,4 @@
-"""Tests of the claims' fold; every interleaving of a small case is searched by `claim_models`."""
+"""Tests of the fold of claims; `claim_models` searches every interleaving of a small case."""
 
 import unittest
 
@@ -35,7 +35,7 @@
         self.assertEqual(self.apply(claim("a")), Outcome.ACCEPTED)
         self.assertEqual(self.claims.owner_of(KEY), "host-a.1")
 
-    def test_a_void_blocks_a_claim_that_lands_after_it(self):
+    def test_a_void_blocks_a_claim_that_is_appended_after_it(self):
         self.assertEqual(self.apply(void("a")), Outcome.ACCEPTED)
         self.assertEqual(self.apply(claim("a")), Outcome.STALE)
         self.assertIsNone(self.claims.owner_of(KEY))
@@ -50,12 +50,12 @@
         self.apply(claim("a"))
         self.assertEqual(self.apply(void("b")), Outcome.HELD)
 
-    def test_a_forgotten_key_never_runs_again(self):
+    def test_an_expired_key_never_runs_again(self):
         self.apply(claim("a"))
         self.assertEqual(self.apply(claim("b", dated=1000.0), time=1061.0), Outcome.EXPIRED)
         self.assertEqual(self.apply(void("b", dated=1000.0), time=1061.0), Outcome.EXPIRED)
 
-    def test_forgotten_keys_take_no_memory(self):
+    def test_expired_keys_are_dropped(self):
         for number in range(50):
             key = CallKey(f"clinic/{number}")
             record = Claim(RecordId(str(number)), key, Incarnation("h.1"), START, 1000.0 + number)
@@ -64,7 +64,7 @@
         self.apply(claim("last", dated=1070.0), time=1070.0)
         self.assertEqual(len(self.claims.by_key), 41)
 
-    def test_after_a_gap_keys_from_before_it_are_not_judged(self):
+    def test_after_a_gap_earlier_keys_are_not_decided(self):
         self.claims.begin(Position(5), True)
         self.next = 5
         self.apply(claim("z", dated=2000.0), time=2000.0)
