--- a/libs/state/ruddersaddle_state/configurations.py
+++ b/libs/state/ruddersaddle_state/configurations.py
@@ -1,8 +1,8 @@
-"""The fold of the configuration stream: same records, same state, on every host.
+"""The fold of the configuration stream: the same records give the same state on every host.
 
-State never goes back: it carries its position, and neither a snapshot nor a peer's state with a
-lower position is taken over it. A fold that misses earlier records is incomplete: it holds new
-records back until a snapshot covers what it misses.
+State never moves backwards: it carries its position, and a snapshot or a peer's state with a lower
+position does not replace it. A fold that lacks earlier records is incomplete: it holds back new
+records until a snapshot covers the gap.
 """
 
 import logging
@@ -35,7 +35,7 @@
 
 DIGEST_BYTES = 8
 RESULTS_MAX = 2000
-"""Fates of changes that are remembered for operators who ask."""
+"""Results of changes that are remembered for operators' queries."""
 
 
 class Configuration:
@@ -88,9 +88,10 @@
         return RecordResult(Outcome.ACCEPTED, positioned.position)
 
     def adopt(self, snapshot: Snapshot) -> bool:
-        """Take over a whole state, and fold what was read after it; return whether it was taken.
+        """Replace the state by a snapshot, then fold the held-back records; return whether it was.
 
-        It isn't if ours is newer, or if it leaves a gap before what was read.
+        A snapshot is not adopted if it is older than the state, or if it leaves a gap before the
+        records that were held back.
         """
         covers = split_offset(snapshot.upto) >= split_offset(self._held_back_from) - 1
         if snapshot.upto < self.position or not covers:
@@ -131,7 +132,7 @@
         return RecordResult(Outcome.ACCEPTED, position)
 
     def _put(self, entry: Entry) -> None:
-        """Set an entry, and keep the values by kind and the callers' keys in step."""
+        """Set an entry, and update the indexes of values by kind and of workspaces by digest."""
         old = self.by_key.get(entry.key)
         if old is not None and old.value is not None:
             self._remove(old.value)
@@ -153,7 +154,7 @@
                 del self.workspace_by_digest[digest]
 
     def check_edit(self, edit: Edit) -> str | None:
-        """Return why an edit can't be taken on this state, or None."""
+        """Return why an edit cannot be applied to this state, or None."""
         current = self.by_key.get(edit.key)
         version = START if current is None else current.version
         if edit.base != version:
@@ -162,12 +163,12 @@
         if edit.value is None:
             return None
         if entry_key(edit.value) != edit.key:
-            return f"{edit.key}: holds a value of another name"
+            return f"{edit.key}: the value's kind and id do not match the key"
         wrong = check_value(edit.value) or self._check_digests(edit.value)
         return f"{edit.key}: {wrong}" if wrong else None
 
     def _check_digests(self, value: Value) -> str | None:
-        """Return why a workspace can't have its callers' keys, or None."""
+        """Return why a workspace cannot have its callers' keys, or None."""
         if not isinstance(value, Workspace):
             return None
         for digest in value.key_digests:
@@ -182,22 +183,22 @@
             del self.result_by_id[next(iter(self.result_by_id))]
 
     def snapshot(self) -> Snapshot:
-        """Return the whole state as a record."""
+        """Return the complete state as a snapshot record."""
         ordered = tuple(self.by_key[key] for key in sorted(self.by_key))
         return Snapshot(new_record_id(), self.position, ordered)
 
     def digest(self) -> str:
-        """Return a digest of all entries, for comparing hosts."""
+        """Return a digest of all entries, to compare hosts."""
         entries = encode_json(self.snapshot().entries)
         return blake2b(entries, digest_size=DIGEST_BYTES).hexdigest()
 
     def version(self, key: EntryKey) -> Position:
-        """Return the version that an edit of `key` has to name as its base."""
+        """Return the version that an edit of `key` must have as its base."""
         entry = self.by_key.get(key)
         return START if entry is None else entry.version
 
     def values(self, kind: type) -> list:
-        """Return the present values of one kind, by name."""
+        """Return the current values of one kind, sorted by name."""
         by_name = self._value_by_name_by_kind.get(kind, {})
         return [by_name[name] for name in sorted(by_name)]
 
@@ -207,7 +208,7 @@
 
 
 def check_references(configuration: Configuration) -> list[str]:
-    """Return a sentence for each entry that names one which isn't there."""
+    """Return a message for each entry that refers to one that does not exist."""
     problems = []
     for event in configuration.values(Event):
         if configuration.get(Template, event.template) is None:
--- a/libs/state/ruddersaddle_state/tests/test_configurations.py
+++ b/libs/state/ruddersaddle_state/tests/test_configurations.py
@@ -1,4 +1,4 @@
-"""Tests of the configuration's fold: operators' races, duplicates, gaps, snapshots."""
+"""Tests of the fold of the configuration: racing operators, duplicates, gaps, snapshots."""
 
 import random
 import unittest
@@ -35,7 +35,7 @@
         self.assertIn("change a", second.reason)
         self.assertEqual(configuration.get(Workspace, "w").weight, 2)
 
-    def test_a_change_that_landed_twice_counts_once(self):
+    def test_a_change_that_was_appended_twice_counts_once(self):
         configuration = started()
         record = change("a", START, 2)
         configuration.apply(place(0, record))
@@ -52,7 +52,7 @@
         self.assertEqual(result.outcome, Outcome.REJECTED)
         self.assertIsNone(configuration.get(Workspace, "other"))
 
-    def test_a_changed_or_deleted_workspace_gives_up_its_callers_keys(self):
+    def test_a_changed_or_deleted_workspace_loses_its_callers_keys(self):
         configuration = started()
         old, new = "a" * 64, "b" * 64
         key = entry_key(Workspace(WorkspaceId("w")))
@@ -81,48 +81,48 @@
         self.assertEqual(result.outcome, Outcome.REJECTED)
         self.assertIn("weight", result.reason)
 
-    def test_a_host_that_starts_behind_retention_waits_for_a_snapshot_and_ends_alike(self):
-        records, whole = [], started()
+    def test_a_host_that_starts_after_retention_waits_for_a_snapshot_and_converges(self):
+        records, reference = [], started()
         for number in range(6):
-            base = whole.version(entry_key(Workspace(WorkspaceId("w"))))
+            base = reference.version(entry_key(Workspace(WorkspaceId("w"))))
             records.append(place(number, change(f"c{number}", base, number + 1)))
-            whole.apply(records[-1])
+            reference.apply(records[-1])
             if number == 3:
-                snapshot = whole.snapshot()
+                snapshot = reference.snapshot()
         late = started(3, gap=True)
         for record in records[3:]:
             self.assertEqual(late.apply(record).outcome, Outcome.HELD)
         self.assertFalse(late.complete)
         marker = place(6, snapshot)
         late.apply(marker)
-        whole.apply(marker)
+        reference.apply(marker)
         self.assertTrue(late.complete)
-        self.assertEqual(late.snapshot().entries, whole.snapshot().entries)
-        self.assertEqual(late.position, whole.position)
+        self.assertEqual(late.snapshot().entries, reference.snapshot().entries)
+        self.assertEqual(late.position, reference.position)
 
-    def test_a_snapshot_that_does_not_reach_the_gap_is_not_taken(self):
+    def test_a_snapshot_that_does_not_cover_the_gap_is_not_adopted(self):
         old = started()
         old.apply(place(0, change("a", START, 2)))
         late = started(5, gap=True)
         late.apply(place(5, old.snapshot()))
         self.assertFalse(late.complete)
 
-    def test_a_peers_state_taken_in_a_gap_is_followed_by_what_was_read_since(self):
-        whole, records, states = started(), [], []
+    def test_a_peers_state_adopted_in_a_gap_is_followed_by_held_back_records(self):
+        reference, records, states = started(), [], []
         for number in range(8):
-            base = whole.version(entry_key(Workspace(WorkspaceId("w"))))
+            base = reference.version(entry_key(Workspace(WorkspaceId("w"))))
             records.append(place(number, change(f"c{number}", base, number + 1)))
-            whole.apply(records[-1])
-            states.append(whole.snapshot())
+            reference.apply(records[-1])
+            states.append(reference.snapshot())
         late = started(4, gap=True)
         for record in records[4:]:
             late.apply(record)
         self.assertFalse(late.adopt(states[2]), "a state from before the gap leaves it open")
         self.assertTrue(late.adopt(states[5]))
-        self.assertEqual(late.snapshot().entries, whole.snapshot().entries)
-        self.assertEqual(late.position, whole.position)
+        self.assertEqual(late.snapshot().entries, reference.snapshot().entries)
+        self.assertEqual(late.position, reference.position)
 
-    def test_state_never_goes_back_to_an_older_snapshot(self):
+    def test_state_never_moves_back_to_an_older_snapshot(self):
         old = started()
         old.apply(place(0, change("a", START, 2)))
         snapshot = old.snapshot()
@@ -130,24 +130,24 @@
         self.assertFalse(old.adopt(snapshot))
         self.assertEqual(old.get(Workspace, "w").weight, 7)
 
-    def test_any_cut_with_a_snapshot_ends_in_the_same_state(self):
+    def test_any_start_with_a_snapshot_converges_to_the_same_state(self):
         rng = random.Random(20261202)
         for _ in range(50):
-            whole, records = started(), []
+            reference, records = started(), []
             for offset in range(30):
                 key = entry_key(Workspace(WorkspaceId(f"w{rng.randrange(4)}")))
-                base = whole.version(key) if rng.random() < 0.7 else Position(rng.randrange(30))
+                base = reference.version(key) if rng.random() < 0.7 else Position(rng.randrange(30))
                 record = change(f"r{offset}", base, rng.randrange(1, 9), key.partition("/")[2])
-                record = whole.snapshot() if rng.random() < 0.2 else record
+                record = reference.snapshot() if rng.random() < 0.2 else record
                 records.append(place(offset, record))
-                whole.apply(records[-1])
+                reference.apply(records[-1])
             late = started(rng.randrange(1, 10), gap=True)
             first = late._held_back_from
             for positioned in records:
                 if positioned.position >= first:
                     late.apply(positioned)
             if late.complete:
-                self.assertEqual(late.snapshot().entries, whole.snapshot().entries)
+                self.assertEqual(late.snapshot().entries, reference.snapshot().entries)
 
 
 if __name__ == "__main__":
