--- a/libs/state/ruddersaddle_state/__init__.py
+++ b/libs/state/ruddersaddle_state/__init__.py
@@ -1,1 +1,1 @@
-"""What is agreed through the platform's log: records, folds over them, and the log's clients."""
+"""State agreed on through the platform's log: records, folds over them, and clients of the log."""
--- a/libs/state/ruddersaddle_state/appenders.py
+++ b/libs/state/ruddersaddle_state/appenders.py
@@ -1,4 +1,4 @@
-"""A task for each stream that appends what waits as one batch, one append in flight at a time."""
+"""A task for each stream that appends pending records in batches, one append at a time."""
 
 import logging
 import time
@@ -17,24 +17,24 @@
 logger = logging.getLogger(__name__)
 
 DOWN_AFTER_S = 1.0
-"""Once appends have failed for this long, callers are told so at once, in seconds."""
+"""Once appends have failed for this long, in seconds, callers get an error at once."""
 
 
 PROBE_S = 0.5
-"""While appends fail, an empty one is tried this often, in seconds, so that the end is noticed."""
+"""While appends fail, an empty append is tried at this interval, in seconds, to detect recovery."""
 
 NotAppendedCallback = Callable[[RecordId], None]
 
 
 class PendingAppend(NamedTuple):
-    """A record that waits for its append, and whom to tell if it can't have landed."""
+    """A record to be appended, and the callback for the case that it cannot have been appended."""
 
     record: Record
     on_not_appended: NotAppendedCallback | None
 
 
 class Appender:
-    """Group commit on one stream: the rate of appends is bounded by one over the latency."""
+    """Group commit on one stream: at most one append per round trip to the log."""
 
     def __init__(self, client: LogClient, stream: Stream, batching: bool = True) -> None:
         self.client = client
@@ -52,23 +52,23 @@
 
     @property
     def down(self) -> bool:
-        """Whether appends have been failing for a while."""
+        """Whether appends have been failing for `DOWN_AFTER_S`."""
         if self.failing_since is None:
             return False
         return time.monotonic() - self.failing_since >= DOWN_AFTER_S
 
     def post(self, record: Record, on_not_appended: NotAppendedCallback | None = None) -> None:
-        """Append a record with whatever else waits; its result is learned by reading it back.
+        """Append a record together with others that are pending; its result is read from the log.
 
-        `on_not_appended` is called if the append can't have taken effect, and only then.
+        `on_not_appended` is called only if the append cannot have taken effect.
         """
         self._pending.append(PendingAppend(record, on_not_appended))
         self._signal_work()
 
     def withdraw(self, record: Record) -> None:
-        """Drop a record that still waits; one that is on its way may land."""
-        kept = [each for each in self._pending if each.record is not record]
-        self._pending = deque(kept)
+        """Drop a record that is still pending; one in flight may be appended."""
+        remaining = [each for each in self._pending if each.record is not record]
+        self._pending = deque(remaining)
 
     def _signal_work(self) -> None:
         if not self._wake.ready():
@@ -82,7 +82,7 @@
                 self._append_batch()
 
     def _await_work(self) -> bool:
-        """Wait for records; return False when it is time to probe a log that fails."""
+        """Wait for records; return False when it is time to probe a failing log."""
         pause_s = None if self.failing_since is None else PROBE_S
         with eventlet.Timeout(pause_s, False):
             self._wake.wait()
@@ -93,14 +93,14 @@
 
     def _append_batch(self) -> None:
         count = min(self.batch_max, len(self._pending))
-        taken = [self._pending.popleft() for _ in range(count)]
-        batch = Batch(tuple(each.record for each in taken))
+        pending = [self._pending.popleft() for _ in range(count)]
+        batch = Batch(tuple(each.record for each in pending))
         reply = self.client.append(self.stream, batch)
         self.appends += 1
         self.records += count
         self._track_failure(reply)
         if isinstance(reply, Failure) and reply.ran is Ran.NOT_RUN:
-            _notify_not_appended(taken)
+            _notify_not_appended(pending)
 
     def _track_failure(self, reply: int | Failure) -> None:
         if not isinstance(reply, Failure):
@@ -110,7 +110,7 @@
             self.failing_since = time.monotonic()
 
 
-def _notify_not_appended(taken: list[PendingAppend]) -> None:
-    for each in taken:
+def _notify_not_appended(pending: list[PendingAppend]) -> None:
+    for each in pending:
         if each.on_not_appended is not None:
             each.on_not_appended(each.record.id)
--- a/libs/state/ruddersaddle_state/configurations.py
+++ b/libs/state/ruddersaddle_state/configurations.py
@@ -53,7 +53,7 @@
         self._held_back_from = START
 
     def begin(self, first: Position, gap: bool) -> None:
-        """Start reading at `first`; a gap means that records before it are gone."""
+        """Start reading at `first`; a gap means that earlier records are no longer in the log."""
         if not gap:
             self.complete = True
             return
--- a/libs/state/ruddersaddle_state/entries.py
+++ b/libs/state/ruddersaddle_state/entries.py
@@ -1,4 +1,4 @@
-"""Published configuration: the typed entries that operators change, and their checks."""
+"""Published configuration: the typed entries that operators edit, and their validation."""
 
 import string
 from enum import Enum
@@ -23,7 +23,7 @@
 
 
 class Workspace(msgspec.Struct, frozen=True, tag="workspace", forbid_unknown_fields=True):
-    """A customer: digests of its caller keys, its weight in queues and its limit."""
+    """A customer: digests of its callers' keys, its weight in queues and its concurrency limit."""
 
     id: WorkspaceId
     key_digests: tuple[str, ...] = ()
@@ -32,7 +32,7 @@
 
 
 class Model(msgspec.Struct, frozen=True, tag="model", forbid_unknown_fields=True):
-    """A model, the weight version in force and its adapters."""
+    """A model, its current weight version and its adapters."""
 
     id: ModelId
     version: str
@@ -48,14 +48,14 @@
 
 
 class PathRule(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A path prefix of a plain service and whether its calls may be repeated."""
+    """A path prefix of a plain service, and whether its calls may be repeated."""
 
     prefix: str
     repeatable: bool
 
 
 class Pool(msgspec.Struct, frozen=True, tag="pool", forbid_unknown_fields=True):
-    """Upstreams that serve the same work, and what may be asked of them."""
+    """Interchangeable upstreams, and which calls they accept."""
 
     id: PoolId
     kind: PoolKind
@@ -65,7 +65,10 @@
     paths: tuple[PathRule, ...] = ()
 
     def is_repeatable(self, path: str) -> bool | None:
-        """Return whether a call of `path` may be repeated, or None if no rule has the path."""
+        """Return whether a call of `path` may be repeated, by the longest matching prefix.
+
+        None means that no rule matches.
+        """
         best = None
         for rule in self.paths:
             longer = best is None or len(rule.prefix) > len(best.prefix)
@@ -75,7 +78,7 @@
 
 
 class Template(msgspec.Struct, frozen=True, tag="template", forbid_unknown_fields=True):
-    """A prompt's shared prefix with `$parameters` of one workspace."""
+    """A shared prompt prefix of one workspace, with `$parameters`."""
 
     id: str
     workspace: WorkspaceId
@@ -84,7 +87,7 @@
 
 
 class Event(msgspec.Struct, frozen=True, tag="event", forbid_unknown_fields=True):
-    """A marked time at which a template will be used; `at` is in Unix seconds."""
+    """A scheduled time at which a template will be used; `at` is in Unix seconds."""
 
     id: str
     template: str
@@ -95,7 +98,7 @@
 
 
 class Store(msgspec.Struct, frozen=True, tag="store", forbid_unknown_fields=True):
-    """A store host of kept context and the capacity of its link in bytes a second."""
+    """A store host for cached context, and the capacity of its link in bytes per second."""
 
     id: StoreId
     address: str
@@ -115,7 +118,7 @@
 
 
 def check_value(value: Value) -> str | None:
-    """Return what is wrong with a value taken by itself, or None."""
+    """Return what is invalid in a value, regardless of other entries, or None."""
     if not value.id or "/" in value.id:
         return "expected an id without a slash"
     match value:
@@ -162,8 +165,8 @@
 
 
 def is_address(text: str) -> bool:
-    """Return whether `text` is an IP number and port."""
+    """Return whether `text` is an IPv4 address and a port."""
     host, colon, port = text.rpartition(":")
     parts = host.split(".")
-    good_host = len(parts) == 4 and all(is_whole(part) and int(part) < 256 for part in parts)
-    return bool(colon) and good_host and is_whole(port) and 0 < int(port) < 65536
+    is_valid_host = len(parts) == 4 and all(is_whole(part) and int(part) < 256 for part in parts)
+    return bool(colon) and is_valid_host and is_whole(port) and 0 < int(port) < 65536
--- a/libs/state/ruddersaddle_state/followers.py
+++ b/libs/state/ruddersaddle_state/followers.py
@@ -1,4 +1,4 @@
-"""A task for each stream that reads the log, folds it, and wakes whoever waits for a record."""
+"""A task for each stream that reads the log, folds its records, and wakes tasks waiting for one."""
 
 import logging
 import time
@@ -15,25 +15,25 @@
 logger = logging.getLogger(__name__)
 
 READ_WAIT_S = 1.0
-"""Longest wait of one read for something new, in seconds."""
+"""Longest wait of one read for new records, in seconds."""
 RETRY_S = 0.2
-"""Pause after a read that failed, in seconds."""
+"""Pause after a failed read, in seconds."""
 
 
 class Fold(Protocol):
-    """What a follower needs of a fold."""
+    """What a follower requires of a fold."""
 
     position: Position
 
     def begin(self, first: Position, gap: bool) -> None:
-        """Start reading at `first`; a gap means that records before it are gone."""
+        """Start reading at `first`; a gap means that earlier records are no longer in the log."""
 
     def apply(self, positioned: PositionedRecord) -> RecordResult:
         """Fold one record."""
 
 
 class Follower:
-    """Follows one stream; `reached_end` tells whether all that stood at the start was read."""
+    """Follows one stream; `reached_end` is set once it has caught up with the log."""
 
     def __init__(self, client: LogClient, stream: Stream, fold: Fold) -> None:
         self.client = client
@@ -77,7 +77,7 @@
         return True
 
     def read_to_end(self) -> bool:
-        """Read until the log has nothing newer; return whether it answered every time."""
+        """Read until the log has nothing newer; return whether all reads succeeded."""
         before = -1
         while before != self.next_offset:
             before = self.next_offset
@@ -97,11 +97,11 @@
             signal.send(result)
 
     def expect(self, record: RecordId) -> None:
-        """Get ready to wait for a record; call before appending it."""
+        """Prepare to wait for a record; call this before appending it."""
         self._signal_by_id[record] = Signal()
 
     def wait(self, record: RecordId, timeout_s: float) -> RecordResult | None:
-        """Wait for an expected record's result; None if it was not read in time."""
+        """Wait for the result of an expected record; None if it was not read in time."""
         signal = self._signal_by_id.get(record)
         if signal is None:
             return None
@@ -110,7 +110,7 @@
         return None
 
     def cancel_wait(self, record: RecordId) -> None:
-        """Wake whoever waits for a record that can't have landed."""
+        """Wake tasks waiting for a record that cannot have been appended."""
         signal = self._signal_by_id.get(record)
         if signal is not None and not signal.ready():
             signal.send(None)
--- a/libs/state/ruddersaddle_state/leases.py
+++ b/libs/state/ruddersaddle_state/leases.py
@@ -1,4 +1,4 @@
-"""The fold of the lease stream: who may give orders to a pool, and with which fence."""
+"""The fold of the lease stream: which host may send orders to a pool, and with which fence."""
 
 from ruddersaddle_base.ids import START, Incarnation, PoolId, Position
 
@@ -6,7 +6,7 @@
 
 
 class Lease:
-    """One pool's lease; `until` is in the log's Unix seconds, the fence grows with each holder."""
+    """The lease of a pool; `until` is in the log's Unix time, `fence` grows with each holder."""
 
     def __init__(self, holder: Incarnation, fence: Position, until: float) -> None:
         self.holder = holder
@@ -17,8 +17,8 @@
 class Leases:
     """The leases as of one position of their stream.
 
-    A grant to another holder is taken only after the lease and a margin have passed by the
-    log's own time, so every host agrees on it.
+    A grant to another holder is accepted only once the lease and a margin have expired by the log's
+    own time, so that all hosts agree on the holder.
     """
 
     def __init__(self, margin_s: float) -> None:
@@ -28,7 +28,7 @@
         self.now = 0.0
 
     def begin(self, first: Position, gap: bool) -> None:
-        """Start reading at `first`; leases from before a gap have lapsed, so none is missing."""
+        """Start reading at `first`; leases from before a gap have expired and are not missed."""
 
     def apply(self, positioned: PositionedRecord) -> RecordResult:
         """Fold one record and return its result."""
--- a/libs/state/ruddersaddle_state/log_clients.py
+++ b/libs/state/ruddersaddle_state/log_clients.py
@@ -1,4 +1,4 @@
-"""Client of the platform's append-only log, over HTTP."""
+"""HTTP client of the platform's append-only log."""
 
 import msgspec
 import urllib3
@@ -9,7 +9,7 @@
 from ruddersaddle_state.records import Batch, PositionedRecord, Stream
 
 PAGE_MAX = 1000
-"""Appends read in one page."""
+"""Most appends read in one page."""
 
 
 class LogRecord(msgspec.Struct):
@@ -21,7 +21,7 @@
 
 
 class LogPage(msgspec.Struct):
-    """A page of a stream: the first offset still kept, the next to read, and the appends."""
+    """A page of a stream: the first retained offset, the next offset to read, and the appends."""
 
     first: int
     next: int
@@ -29,13 +29,13 @@
 
 
 class AppendReply(msgspec.Struct):
-    """The log's answer to an append."""
+    """The log's reply to an append."""
 
     offset: int
 
 
 class Page(msgspec.Struct):
-    """A page with its batches opened, in order; offsets count appends."""
+    """A page with its batches decoded into records, in order; offsets count appends."""
 
     first: int
     next: int
@@ -43,7 +43,7 @@
 
 
 class LogClient:
-    """Appends to and reads from the log service at one address; safe for many tasks."""
+    """Appends to and reads from the log service at one address; may be used by many tasks."""
 
     def __init__(self, address: str, timeout_s: float) -> None:
         self.address = address
@@ -54,8 +54,8 @@
     def append(self, stream: Stream, batch: Batch) -> int | Failure:
         """Append a batch and return its offset.
 
-        The failure's `ran` says whether it may have taken effect: only a connection that was
-        never made proves that it did not.
+        The failure's `ran` says whether the append may have taken effect: only if no connection
+        was established is it certain that it did not.
         """
         path = f"/streams/{stream.value}"
         reply = self._call("POST", path, Step.APPEND, self.timeout_s, encode_json(batch))
@@ -67,7 +67,7 @@
         return decoded.offset
 
     def read(self, stream: Stream, start: int, wait_s: float) -> Page | Failure:
-        """Read from an offset on, waiting up to `wait_s` seconds for something new."""
+        """Read from an offset on, waiting up to `wait_s` seconds for new appends."""
         path = f"/streams/{stream.value}?from={start}&wait={wait_s}&limit={PAGE_MAX}"
         reply = self._call("GET", path, Step.READ, self.timeout_s + wait_s)
         if isinstance(reply, Failure):
@@ -75,7 +75,7 @@
         page = decode_json(reply, LogPage, Step.READ, self.address)
         if isinstance(page, Failure):
             return page
-        return Page(page.first, page.next, _open_batches(page))
+        return Page(page.first, page.next, _decode_batches(page))
 
     def _call(
         self, method: str, path: str, step: Step, timeout_s: float, body: bytes | None = None
@@ -95,7 +95,7 @@
         return Failure(Code.LOG_UNAVAILABLE, step, self.address, detail, ran)
 
 
-def _open_batches(page: LogPage) -> list[PositionedRecord]:
+def _decode_batches(page: LogPage) -> list[PositionedRecord]:
     records = []
     for record in page.records:
         batch = _decode_batch(record.data)
@@ -108,6 +108,6 @@
 def _decode_batch(data: str) -> Batch:
     batch = decode_json(data, Batch, Step.READ, "log")
     if isinstance(batch, Failure):
-        # A record that no host of this version can read is empty for all of them alike.
+        # An unreadable batch counts as empty, which is the same on all hosts of this version.
         return Batch(())
     return batch
--- a/libs/state/ruddersaddle_state/records.py
+++ b/libs/state/ruddersaddle_state/records.py
@@ -1,6 +1,6 @@
 """Records of the log's streams, and the batches in which they are appended.
 
-Each append carries one batch, so that everything that waits at a host costs one append.
+Each append carries one batch, so that all records pending at a host cost one append.
 """
 
 from enum import Enum
@@ -11,11 +11,11 @@
 from ruddersaddle_state.entries import EntryKey, Value
 
 BATCH_MAX = 1000
-"""Most records in a batch; a position's index has room for 1024."""
+"""Most records in a batch; the index in a position can count 1024."""
 
 
 class Stream(Enum):
-    """The streams that the system keeps in the log."""
+    """The streams that hosts keep in the log."""
 
     CONFIGURATION = "configuration"
     CLAIMS = "claims"
@@ -23,7 +23,7 @@
 
 
 class Edit(msgspec.Struct, frozen=True):
-    """One entry's new value (None deletes it) and the version that the edit is based on."""
+    """An entry's new value (None deletes it) and the entry's version that the edit is based on."""
 
     key: EntryKey
     base: Position
@@ -31,7 +31,7 @@
 
 
 class Change(msgspec.Struct, frozen=True, tag="change"):
-    """Edits that take effect together, if every base is still the entry's version."""
+    """Edits that are applied atomically, if every `base` is still the entry's version."""
 
     id: RecordId
     author: str
@@ -39,7 +39,7 @@
 
 
 class Entry(msgspec.Struct, frozen=True):
-    """An entry of the folded configuration; a deleted entry keeps its version."""
+    """An entry of the folded configuration; a deleted entry keeps its version and has no value."""
 
     key: EntryKey
     version: Position
@@ -48,7 +48,7 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True, tag="snapshot"):
-    """The whole configuration as of position `upto`."""
+    """The complete configuration as of position `upto`."""
 
     id: RecordId
     upto: Position
@@ -58,8 +58,8 @@
 class Claim(msgspec.Struct, frozen=True, tag="claim"):
     """A host's claim to run the call `key` once.
 
-    `base` is the retry token that the caller was given (`START` for none); `dated` is the
-    key's own time in Unix seconds; the record's id names the attempt.
+    `base` is the retry token that the caller was given (`START` for none), `dated` is the key's own
+    time in Unix seconds, and `id` identifies the attempt.
     """
 
     id: RecordId
@@ -70,7 +70,7 @@
 
 
 class Void(msgspec.Struct, frozen=True, tag="void"):
-    """A host's statement that its `attempt` at `key` will not run; it also stops older ones."""
+    """Declares that `attempt` at the call `key` will not run; it also stops earlier attempts."""
 
     id: RecordId
     key: CallKey
@@ -79,7 +79,7 @@
 
 
 class Grant(msgspec.Struct, frozen=True, tag="grant"):
-    """A lease on the orders to one pool, new or renewed."""
+    """A lease on orders to one pool, new or renewed; it lasts `length_s` seconds."""
 
     id: RecordId
     pool: PoolId
@@ -88,7 +88,7 @@
 
 
 class Release(msgspec.Struct, frozen=True, tag="release"):
-    """A holder's early end of its lease."""
+    """The early end of a lease by its holder."""
 
     id: RecordId
     pool: PoolId
@@ -99,13 +99,13 @@
 
 
 class Batch(msgspec.Struct, frozen=True):
-    """What one append carries."""
+    """The records of one append."""
 
     records: tuple[Record, ...]
 
 
 class PositionedRecord(msgspec.Struct, frozen=True):
-    """A record read back: its position, and when the log took it, in Unix seconds."""
+    """A record read from the log: its position, and when it was appended, in Unix seconds."""
 
     position: Position
     time: float
@@ -113,7 +113,7 @@
 
 
 class Outcome(Enum):
-    """What the fold made of a record."""
+    """How a fold dealt with a record."""
 
     ACCEPTED = "accepted"
     REJECTED = "rejected"
@@ -123,7 +123,7 @@
 
 
 class RecordResult(msgspec.Struct, frozen=True):
-    """The outcome of one record, where it stands and why."""
+    """The outcome of one record, its position or that of the state it confirms, and the reason."""
 
     outcome: Outcome
     position: Position
--- a/libs/state/ruddersaddle_state/tests/test_appenders.py
+++ b/libs/state/ruddersaddle_state/tests/test_appenders.py
@@ -1,4 +1,4 @@
-"""Tests of group commit on a fake log client."""
+"""Tests of group commit with a fake log client."""
 
 import unittest
 
@@ -43,21 +43,21 @@
             while not condition():
                 eventlet.sleep(0.01)
 
-    def test_what_waits_goes_in_one_batch(self):
+    def test_pending_records_are_appended_in_one_batch(self):
         client, appender = self.start()
         for name in "abc":
             appender.post(record(name))
         self.await_true(lambda: appender.records == 3)
         self.assertEqual(len(client.batches), 1)
 
-    def test_only_a_refused_append_is_given_up(self):
-        given_up = []
+    def test_only_a_refused_append_calls_back(self):
+        not_appended = []
         _, appender = self.start(LOST, REFUSED)
-        appender.post(record("lost"), given_up.append)
+        appender.post(record("lost"), not_appended.append)
         self.await_true(lambda: appender.appends == 1)
-        appender.post(record("refused"), given_up.append)
+        appender.post(record("refused"), not_appended.append)
         self.await_true(lambda: appender.appends >= 2)
-        self.assertEqual(given_up, ["refused"])
+        self.assertEqual(not_appended, ["refused"])
 
     def test_a_withdrawn_record_is_not_sent(self):
         client, appender = self.start()
@@ -68,7 +68,7 @@
         self.await_true(lambda: appender.records == 1)
         self.assertEqual(client.batches[0].records, (kept,))
 
-    def test_an_appender_that_was_down_comes_up_without_new_records(self):
+    def test_an_appender_that_was_down_recovers_without_new_records(self):
         _, appender = self.start(LOST, LOST, LOST)
         appender.post(record("a"))
         self.await_true(lambda: appender.down)
