--- a/libs/serving/ruddersaddle_serving/entry_hosts.py
+++ b/libs/serving/ruddersaddle_serving/entry_hosts.py
@@ -341,7 +341,7 @@
                 "seconds since its confirmation",
                 self.publications.age_s,
             ),
-            ("store_era", "epoch of the store", self.store.eras.newest),
+            ("store_era", "era of the store, raised by each restore", self.store.eras.newest),
             ("store_returns", "restores of the store from a copy", self.store.eras.restores),
             ("configuration_awaited", "versions lost by the store", self._awaited_count()),
             ("upstreams", "entries of upstreams", len(self.upstreams.by_id)),
--- a/libs/serving/ruddersaddle_serving/tests/test_tasks.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_tasks.py
@@ -14,8 +14,8 @@
         done = Event()
         calls = []
 
-        def work(word: str) -> None:
-            calls.append(word)
+        def work(argument: str) -> None:
+            calls.append(argument)
             if len(calls) == 1:
                 raise KeyError("first")
             done.send(True)
