--- a/libs/serving/ruddersaddle_serving/entry_hosts.py
+++ b/libs/serving/ruddersaddle_serving/entry_hosts.py
@@ -123,7 +123,7 @@
         self.quotas = UpstreamShares(self.hosts, self.publications, self.upstreams)
         self.cached_parts = KeptParts(engines)
         self.retry_budget = RetryBudget(settings.number("bounds.retry_share") * RETRY_BUDGET_SHARE)
-        self.publications.listeners += [self.trackers.take_table, self.cached_parts.take_table]
+        self.publications.listeners += [self.trackers.apply_table, self.cached_parts.take_table]
         self.crash_records = CrashRecords()
         self.crash_watch = CrashWatch(
             engines,
@@ -211,7 +211,7 @@
             self.cached_parts,
             self.crash_records,
         )
-        self.forwarder.placement.belief_lag_s = lambda: self.neighbours.loads.lag_s
+        self.forwarder.placement.view_lag_s = lambda: self.neighbours.loads.lag_s
         self.probes = Probes(
             self.neighbours.hosts, self.trackers, self.engines, self._broadcast_notice
         )
@@ -234,12 +234,14 @@
     def _apply_report(self, upstream: UpstreamId, report: SelfReport) -> None:
         """Apply what an upstream reports of itself in its answer to this host's own call."""
         tracker = self.trackers.by_id.get(upstream)
-        notice = None if tracker is None else tracker.hear(report, None, is_ordinary=False)
+        notice = (
+            None if tracker is None else tracker.apply_self_report(report, None, is_ordinary=False)
+        )
         if notice is not None:
             self._broadcast_notice(notice)
 
     def _broadcast_notice(self, notice: Notice) -> None:
-        self.neighbours.loads.tell(notice)
+        self.neighbours.loads.broadcast(notice)
 
     # Serving
 
@@ -420,7 +422,7 @@
         return sum(each.reported.rate_limit.is_named for each in self.trackers.by_id.values())
 
     def _unresponsive_count(self) -> int:
-        return sum(each.is_silent for each in self.trackers.by_id.values())
+        return sum(each.is_unresponsive for each in self.trackers.by_id.values())
 
     # The planned stop
 
--- a/libs/serving/ruddersaddle_serving/fronts.py
+++ b/libs/serving/ruddersaddle_serving/fronts.py
@@ -132,7 +132,7 @@
             self.request = request
             prompt = request.head.prompt
             if prompt is not None:
-                self.size_band = self.front.sizes.take(request.route.name, prompt.tokens)
+                self.size_band = self.front.sizes.record(request.route.name, prompt.tokens)
             return self._forward(request)
         except CallerLeftError:
             return self._end_after(self._refuse(self._caller_left()), "caller left")
@@ -338,7 +338,9 @@
         front.count(f"answers_{self.status or 'none'}")
         count_outcome(front.outcome_counts, outcome)
         if self.size_band is not None:
-            front.sizes.count(self.request.route.name, self.size_band, self._size_outcome(outcome))
+            front.sizes.count_end(
+                self.request.route.name, self.size_band, self._size_outcome(outcome)
+            )
         total_s = clocks.now_s() - self.began
         fields: dict[str, Any] = {
             "status": self.status,
--- a/libs/serving/ruddersaddle_serving/neighbours.py
+++ b/libs/serving/ruddersaddle_serving/neighbours.py
@@ -15,7 +15,7 @@
 from ruddersaddle_serving.host_lists import HostList
 from ruddersaddle_serving.hosts import Hosts
 from ruddersaddle_serving.kept_parts import KeptParts
-from ruddersaddle_serving.load_shares import LoadShares, LoadSums, Notices
+from ruddersaddle_serving.load_shares import LoadExchange, LoadSums, Notices
 from ruddersaddle_serving.neighbour_messages import (
     Ack,
     Changed,
@@ -87,7 +87,7 @@
         self.peers = Peers(self.address, self._handle, NeighbourMessage)
         self.host_list = HostList(hosts, store)
         self.host_list.listeners.append(lambda: self.peers.keep_only(set(hosts.addresses())))
-        self.loads = LoadShares(hosts, self.peers, trackers, upstreams)
+        self.loads = LoadExchange(hosts, self.peers, trackers, upstreams)
         self.crashes = CrashShares(hosts, self.peers, store, crashes)
         self._revision_by_address: dict[str, int] = {}
         self._crashes_revision_by_address: dict[str, int] = {}
@@ -266,9 +266,9 @@
             case Changed():
                 self._handle_changed(message)
             case Notices():
-                self.loads.take_notices(message)
+                self.loads.apply_notices(message)
             case LoadSums():
-                self.loads.take_sums(message)
+                self.loads.apply_sums(message)
             case CrashUpdate():
                 self.crashes.apply_update(message)
             case AskParts():
@@ -357,7 +357,7 @@
         self.load_message_at = clocks.now_s()
         tracker = self.trackers.by_id.get(message.upstream)
         if tracker is not None:
-            tracker.take_version(message.model, message.version)
+            tracker.record_version(message.model, message.version)
             tracker.avoided_until = 0.0
 
     def broadcast(self, message: Loading | Loaded) -> None:
--- a/libs/serving/ruddersaddle_serving/probes.py
+++ b/libs/serving/ruddersaddle_serving/probes.py
@@ -65,7 +65,7 @@
     def due(self) -> list[Tracker]:
         """Return the upstreams to probe now, and schedule their next probes."""
         trackers = self.trackers.by_id.values()
-        unresponsive = [each for each in trackers if each.is_silent and not each.is_replaced]
+        unresponsive = [each for each in trackers if each.is_unresponsive and not each.is_replaced]
         known = self._state_by_id
         self._state_by_id = {each: known[each] for each in known if each in self.trackers.by_id}
         return [
@@ -115,7 +115,7 @@
     def _record_reached(self, tracker: Tracker) -> None:
         self._state_by_id.setdefault(tracker.id, ProbeState()).reached_at = clocks.now_s()
         logger.info("Upstream %s answers again.", tracker.id)
-        self._notify(tracker, Progress.REACHED)
+        self._notify(tracker, Progress.PROBE_ANSWERED)
 
     def _notify(self, tracker: Tracker, progress: Progress) -> None:
         start = tracker.entry.instance
--- a/libs/serving/ruddersaddle_serving/tests/load_replays.py
+++ b/libs/serving/ruddersaddle_serving/tests/load_replays.py
@@ -1,9 +1,9 @@
-"""Replays a load in virtual time against the decisions that a host makes.
+"""Simulates a load in virtual time against the decisions that a host makes.
 
-The decisions are the product's own: placement, shared loads, silence, probes. What stands around
-them is as small as it can be: engines with slots, memory, a reading pace and dark spells; callers
-who come once, or a second time after a refusal. Hosts hear of one another as they do in service,
-over messages that arrive at once; connections take no time, or time out at a dark engine.
+The decisions run the production code: placement, load exchange, liveness, probes. The environment
+is minimal: engines with slots, memory, a prefill rate and outages; callers who try once, or a
+second time after a refusal. Hosts exchange the production messages, which arrive immediately;
+connections take no time, or time out at an engine that is down.
 """
 
 import heapq
@@ -21,10 +21,10 @@
 from ruddersaddle_serving.hosts import HostRecord, Hosts
 from ruddersaddle_serving.kept_parts import KeptParts
 from ruddersaddle_serving.load_shares import (
-    READER_NOTICES_S,
-    SUMS_S,
-    TOTALS_EVERY,
-    LoadShares,
+    READER_NOTICE_INTERVAL_S,
+    SUM_INTERVAL_S,
+    SUMS_PER_TOTAL,
+    LoadExchange,
 )
 from ruddersaddle_serving.placements import Choice, Placement
 from ruddersaddle_serving.ports import Presence
@@ -41,7 +41,7 @@
     draw_size,
 )
 from ruddersaddle_serving.tests.test_load_shares import FakePeers
-from ruddersaddle_serving.trackers import Notice, Progress, Reach, Trackers
+from ruddersaddle_serving.trackers import Notice, Progress, Reachability, Trackers
 from ruddersaddle_serving.upstream_connections import CONNECT_TIMEOUT_S, IDLE_TIMEOUT_S
 from ruddersaddle_serving.upstream_entries import UpstreamEntry
 from ruddersaddle_serving.upstream_lists import UpstreamList
@@ -49,115 +49,115 @@
 
 POOL = PoolId("p")
 MODEL = ModelId("m")
-PATIENCE_S = 2.4
-"""A caller leaves an engine that has sent nothing after this long."""
+CALLER_TIMEOUT_S = 2.4
+"""A caller gives up on an engine that has sent nothing for this long."""
 
 
 class ReplayEngine:
-    """An engine that reads prompts one after another and runs up to `slots`.
+    """An engine that prefills prompts one after another and runs up to `slots`.
 
-    The urgent go first; where memory runs out the newest of the least urgent runs is preempted and
-    read anew.
+    Higher priorities go first. When memory runs out, the latest run of the lowest priority is
+    preempted and its prefill is repeated.
     """
 
     def __init__(self, replay: "Replay", entry: UpstreamEntry) -> None:
         self.replay = replay
         self.entry = entry
-        self.dark = False
-        self.active: list[Visit] = []
-        self.reading: Visit | None = None
-        self.unread: list[Visit] = []
-        self.waiting: list[Visit] = []
-        self.kept: OrderedDict[str, int] = OrderedDict()
-
-    def take(self, visit: "Visit") -> None:
-        if not self.dark:
-            self.waiting.append(visit)
+        self.is_down = False
+        self.active: list[ReplayCaller] = []
+        self.prefilling: ReplayCaller | None = None
+        self.awaiting_prefill: list[ReplayCaller] = []
+        self.waiting: list[ReplayCaller] = []
+        self.cached: OrderedDict[str, int] = OrderedDict()
+
+    def handle(self, caller: "ReplayCaller") -> None:
+        if not self.is_down:
+            self.waiting.append(caller)
             self._admit()
 
     def _admit(self) -> None:
         load = self.replay.load
-        while self.waiting and not self.dark:
-            visit = min(self.waiting, key=lambda each: each.kind.priority)
-            if len(self.active) >= load.slots or not self._makes_room(visit):
+        while self.waiting and not self.is_down:
+            caller = min(self.waiting, key=lambda each: each.kind.priority)
+            if len(self.active) >= load.slots or not self._make_room(caller):
                 break
-            self.waiting.remove(visit)
-            self.active.append(visit)
-            self.unread.append(visit)
-        self._read_next()
+            self.waiting.remove(caller)
+            self.active.append(caller)
+            self.awaiting_prefill.append(caller)
+        self._prefill_next()
 
-    def _makes_room(self, visit: "Visit") -> bool:
-        taken = sum(each.kind.tokens for each in self.active)
+    def _make_room(self, caller: "ReplayCaller") -> bool:
+        used = sum(each.kind.tokens for each in self.active)
         capacity = self.replay.load.memory_tokens
-        others = [each for each in self.active if each.kind.priority > visit.kind.priority]
-        while taken + visit.kind.tokens > capacity and others:
+        others = [each for each in self.active if each.kind.priority > caller.kind.priority]
+        while used + caller.kind.tokens > capacity and others:
             least = max(others, key=lambda each: (each.kind.priority, each.number))
             others.remove(least)
-            taken -= least.kind.tokens
+            used -= least.kind.tokens
             self._preempt(least)
-        return taken + visit.kind.tokens <= capacity
-
-    def _preempt(self, visit: "Visit") -> None:
-        self.active.remove(visit)
-        visit.runs += 1
-        if visit in self.unread:
-            self.unread.remove(visit)
-        if self.reading is visit:
-            self.reading = None
-        visit.break_off()
-        self.waiting.append(visit)
-
-    def _read_next(self) -> None:
-        if self.dark or self.reading is not None or not self.unread:
+        return used + caller.kind.tokens <= capacity
+
+    def _preempt(self, caller: "ReplayCaller") -> None:
+        self.active.remove(caller)
+        caller.runs += 1
+        if caller in self.awaiting_prefill:
+            self.awaiting_prefill.remove(caller)
+        if self.prefilling is caller:
+            self.prefilling = None
+        caller.record_preemption()
+        self.waiting.append(caller)
+
+    def _prefill_next(self) -> None:
+        if self.is_down or self.prefilling is not None or not self.awaiting_prefill:
             return
-        visit = min(self.unread, key=lambda each: each.kind.priority)
-        self.unread.remove(visit)
-        self.reading = visit
-        missing = visit.kind.own_tokens + self._read_shared(visit)
-        run = visit.runs
-        reading_s = missing / self.replay.load.tokens_s
-        self.replay.after(reading_s, lambda: self._end_reading(visit, run))
-
-    def _read_shared(self, visit: "Visit") -> int:
-        is_kept = visit.subject in self.kept
-        self.kept[visit.subject] = visit.kind.shared_tokens
-        self.kept.move_to_end(visit.subject)
-        while sum(self.kept.values()) > self.replay.load.memory_tokens:
-            self.kept.popitem(last=False)
-        read = 0 if is_kept else visit.kind.shared_tokens
-        visit.tally.read_tokens += read
-        return read
-
-    def _end_reading(self, visit: "Visit", run: int) -> None:
-        if self.dark or visit.runs != run:
+        caller = min(self.awaiting_prefill, key=lambda each: each.kind.priority)
+        self.awaiting_prefill.remove(caller)
+        self.prefilling = caller
+        missing = caller.kind.own_tokens + self._prefill_shared(caller)
+        run = caller.runs
+        prefill_s = missing / self.replay.load.tokens_s
+        self.replay.after(prefill_s, lambda: self._end_prefill(caller, run))
+
+    def _prefill_shared(self, caller: "ReplayCaller") -> int:
+        is_cached = caller.shared_part in self.cached
+        self.cached[caller.shared_part] = caller.kind.shared_tokens
+        self.cached.move_to_end(caller.shared_part)
+        while sum(self.cached.values()) > self.replay.load.memory_tokens:
+            self.cached.popitem(last=False)
+        prefilled = 0 if is_cached else caller.kind.shared_tokens
+        caller.tally.prefilled_tokens += prefilled
+        return prefilled
+
+    def _end_prefill(self, caller: "ReplayCaller", run: int) -> None:
+        if self.is_down or caller.runs != run:
             return
-        self.reading = None
+        self.prefilling = None
         load = self.replay.load
-        self.replay.after(load.first_s, lambda: visit.take_first(run))
-        whole_s = load.first_s + visit.kind.tokens_out * load.step_s
-        self.replay.after(whole_s, lambda: self._end_run(visit, run))
-        self._read_next()
+        self.replay.after(load.first_s, lambda: caller.record_first_event(run))
+        run_s = load.first_s + caller.kind.tokens_out * load.step_s
+        self.replay.after(run_s, lambda: self._end_run(caller, run))
+        self._prefill_next()
 
-    def _end_run(self, visit: "Visit", run: int) -> None:
-        if self.dark or visit.runs != run:
+    def _end_run(self, caller: "ReplayCaller", run: int) -> None:
+        if self.is_down or caller.runs != run:
             return
-        self.active.remove(visit)
-        visit.take_end()
+        self.active.remove(caller)
+        caller.record_end()
         self._admit()
 
-    def turn_dark(self) -> None:
-        self.dark = True
+    def go_down(self) -> None:
+        self.is_down = True
         self.waiting.clear()
-        self.unread.clear()
+        self.awaiting_prefill.clear()
         self.active.clear()
-        self.reading = None
+        self.prefilling = None
 
-    def turn_light(self) -> None:
-        self.dark = False
+    def come_up(self) -> None:
+        self.is_down = False
 
 
 class ReplayConnections:
-    """Tells placement whether a host has a connection to an engine."""
+    """Shows the placement whether a host has an idle connection to an engine."""
 
     def __init__(self, host: "ReplayHost", upstream: UpstreamId) -> None:
         self.host = host
@@ -172,62 +172,62 @@
 
 
 class ReplayHost:
-    """The decisions of one host, and to which engines it has connections."""
+    """The decisions of one host, and its connections to engines."""
 
-    def __init__(self, replay: "Replay", shares: LoadShares) -> None:
-        self.shares = shares
-        trackers = shares.trackers
+    def __init__(self, replay: "Replay", exchange: LoadExchange) -> None:
+        self.exchange = exchange
+        trackers = exchange.trackers
         upstreams = UpstreamList()
         for engine in replay.engine_by_id.values():
             upstreams.put(engine.entry)
-            tracker = trackers.at(engine.entry)
+            tracker = trackers.get_or_create(engine.entry)
             tracker.memory.capacity_tokens = replay.load.memory_tokens
             tracker.connections = ReplayConnections(self, engine.entry.id)
         publications = Publications()
         kept = KeptParts(mock.Mock())
-        hall = shares.hosts.own.hall
-        cold = UpstreamShares(shares.hosts, publications, upstreams)
-        self.placement = Placement(hall, 12.0, publications, upstreams, trackers, kept, cold)
-        self.placement.belief_lag_s = lambda: shares.lag_s
+        hall = exchange.hosts.own.hall
+        quotas = UpstreamShares(exchange.hosts, publications, upstreams)
+        self.placement = Placement(hall, 12.0, publications, upstreams, trackers, kept, quotas)
+        self.placement.view_lag_s = lambda: exchange.lag_s
         engines = mock.Mock()
         engines.presence.side_effect = lambda _, start: replay.presence(start.id)
-        self.probes = Probes(shares.hosts, trackers, engines, shares.tell)
+        self.probes = Probes(exchange.hosts, trackers, engines, exchange.broadcast)
         self.connected_until: dict[UpstreamId, float] = {}
 
-    def connects(self, upstream: UpstreamId) -> bool:
-        """Return whether a request needs a new connection; it is kept for the next one."""
+    def needs_connection(self, upstream: UpstreamId) -> bool:
+        """Return whether a request needs a new connection, which later requests reuse."""
         now = clocks.now_s()
         is_new = self.connected_until.get(upstream, 0.0) < now
         self.connected_until[upstream] = now + IDLE_TIMEOUT_S
         return is_new
 
 
-class Visit:
-    """One caller, from the first try on."""
+class ReplayCaller:
+    """One caller, from the first attempt on."""
 
     def __init__(self, replay: "Replay", kind: Kind) -> None:
         self.replay = replay
-        self.kind = draw_size(kind, replay.draw)
-        self.subject = f"{kind.name}-{replay.draw.randrange(kind.subjects)}"
-        self.kind = draw_shared_size(self.kind, self.subject)
-        self.began = clocks.now_s()
-        self.tries = 0
+        self.kind = draw_size(kind, replay.rng)
+        self.shared_part = f"{kind.name}-{replay.rng.randrange(kind.shared_parts)}"
+        self.kind = draw_shared_size(self.kind, self.shared_part)
+        self.started_at = clocks.now_s()
+        self.attempts = 0
         self.runs = 0
         self.number = 0
         self.ended = False
         self.tally = replay.outcome.tally_by_kind[kind.name]
         self.tally.asked += 1
-        self.tally.asked_at.append(self.began)
+        self.tally.asked_at.append(self.started_at)
         self.tally.sizes.append(self.kind.tokens)
-        self._try()
+        self._start_attempt()
 
-    def _try(self) -> None:
-        self.tries += 1
+    def _start_attempt(self) -> None:
+        self.attempts += 1
         self.excluded: set[UpstreamId] = set()
         self.may_refuse = True
-        self.host = self.replay.draw.choice(self.replay.hosts)
+        self.host = self.replay.rng.choice(self.replay.hosts)
         parts = (
-            Part(PartId(self.subject), self.kind.shared_tokens),
+            Part(PartId(self.shared_part), self.kind.shared_tokens),
             Part(PartId(f"own-{next(self.replay.numbers)}"), self.kind.own_tokens),
         )
         tokens = self.kind.shared_tokens + self.kind.own_tokens
@@ -255,95 +255,95 @@
                 self._refuse(choice.retry_after_s)
 
     def _refuse(self, retry_after_s: float) -> None:
-        if self.tries > 1:
+        if self.attempts > 1:
             self._give_up("refused")
         else:
-            self.replay.after(retry_after_s, self._try)
+            self.replay.after(retry_after_s, self._start_attempt)
 
     def _send(self, choice: Choice) -> None:
         self.upstream = choice.tracker.id
         self.number = next(self.replay.numbers)
         expected_s = choice.first_s
-        self._tell(Progress.SENT, assignment=choice.assignment, expected_s=expected_s)
+        self._broadcast(Progress.SENT, assignment=choice.assignment, expected_s=expected_s)
         engine = self.replay.engine_by_id[self.upstream]
-        is_new = self.host.connects(self.upstream)
+        is_new = self.host.needs_connection(self.upstream)
         self.tally.connections += is_new
-        if engine.dark and is_new:
+        if engine.is_down and is_new:
             self.replay.after(CONNECT_TIMEOUT_S, self._fail_to_connect)
             return
         self.host.placement.shares.note_sent(choice.tracker)
-        engine.take(self)
+        engine.handle(self)
         number = self.number
-        self.replay.after(PATIENCE_S, lambda: self._leave(number))
+        self.replay.after(CALLER_TIMEOUT_S, lambda: self._abandon(number))
 
     def _fail_to_connect(self) -> None:
         self.host.connected_until.pop(self.upstream, None)
-        self.host.placement.trackers.by_id[self.upstream].note_no_connection()
-        self._tell(Progress.ENDED, reach=Reach.NO_CONNECTION)
+        self.host.placement.trackers.by_id[self.upstream].record_connect_failure()
+        self._broadcast(Progress.ENDED, reachability=Reachability.NO_CONNECTION)
         self.excluded.add(self.upstream)
         if len(self.excluded) < CONNECT_ATTEMPTS_MAX:
             self._choose()
         else:
             self._give_up("unserved")
 
-    def _leave(self, number: int) -> None:
+    def _abandon(self, number: int) -> None:
         if not self.ended and self.number == number:
             self.ended = True
             self.host.connected_until.pop(self.upstream, None)
             self._give_up("unserved")
-            self._tell(Progress.ENDED, reach=Reach.NOTHING)
+            self._broadcast(Progress.ENDED, reachability=Reachability.NO_RESPONSE)
 
     def _give_up(self, outcome: str) -> None:
         setattr(self.tally, outcome, getattr(self.tally, outcome) + 1)
-        self.tally.unserved_s += clocks.now_s() - self.began
+        self.tally.unserved_s += clocks.now_s() - self.started_at
 
-    def take_first(self, run: int) -> None:
+    def record_first_event(self, run: int) -> None:
         if self.ended or self.runs != run:
             return
         self.ended = True
-        self._tell(Progress.FIRST)
-        first_s = clocks.now_s() - self.began
-        self.tally.firsts.append(first_s)
+        self._broadcast(Progress.FIRST_EVENT)
+        first_s = clocks.now_s() - self.started_at
+        self.tally.first_event_times_s.append(first_s)
         self.tally.served_sizes.append(self.kind.tokens)
         if first_s <= self.kind.target_s:
             self.tally.in_time += 1
-            self.tally.in_time_at.append(self.began)
+            self.tally.in_time_at.append(self.started_at)
         else:
             self.tally.late += 1
-            self.tally.late_again += self.tries > 1
+            self.tally.late_after_refusal += self.attempts > 1
 
-    def break_off(self) -> None:
-        """Take that the engine preempted the run; a stream that had begun has a long pause now."""
+    def record_preemption(self) -> None:
+        """Record that the engine preempted the run; a stream that had begun pauses for long."""
         if (
             self.ended
-            and clocks.now_s() - self.began > 0
-            and self.tally.in_time > self.tally.broken
+            and clocks.now_s() - self.started_at > 0
+            and self.tally.in_time > self.tally.interrupted
         ):
-            self.tally.broken += 1
+            self.tally.interrupted += 1
 
-    def take_end(self) -> None:
-        self._tell(Progress.ENDED, reach=Reach.ANSWERED, failed=False)
+    def record_end(self) -> None:
+        self._broadcast(Progress.ENDED, reachability=Reachability.RESPONDED, failed=False)
 
-    def _tell(self, progress: Progress, **fields: object) -> None:
-        self.host.shares.tell(Notice(self.upstream, self.number, progress, **fields))
+    def _broadcast(self, progress: Progress, **fields: object) -> None:
+        self.host.exchange.broadcast(Notice(self.upstream, self.number, progress, **fields))
 
 
 class Replay:
-    """One load, replayed."""
+    """The simulation of one load."""
 
     engine_class: type[ReplayEngine] = ReplayEngine
-    visit_class: type[Visit] = Visit
+    caller_class: type[ReplayCaller] = ReplayCaller
 
     def __init__(self, load: Load) -> None:
         self.load = load
         self.now = 1000.0
-        self.draw = random.Random(load.seed)
+        self.rng = random.Random(load.seed)
         self.numbers = itertools.count(1)
         self.outcome = Outcome({kind.name: Tally(kind) for kind in load.kinds})
         self._events: list[tuple[float, int, Callable[[], None]]] = []
 
     def run(self) -> Outcome:
-        """Play the load and return what became of its callers."""
+        """Run the simulation and return the outcome for the callers."""
         eventlet_path = "ruddersaddle_serving.load_shares.eventlet.spawn_after"
         with (
             mock.patch.object(clocks, "now_s", lambda: self.now),
@@ -351,18 +351,18 @@
         ):
             random.seed(self.load.seed)
             self._build()
-            end = self.now + self.load.length_s + PATIENCE_S + 1.0
+            end = self.now + self.load.length_s + CALLER_TIMEOUT_S + 1.0
             while self._events and self._events[0][0] < end:
                 self.now, _, function = heapq.heappop(self._events)
                 function()
         return self.outcome
 
     def presence(self, upstream: UpstreamId) -> Presence:
-        """Return what a probe of an engine brings."""
-        return Presence.UNKNOWN if self.engine_by_id[upstream].dark else Presence.PRESENT
+        """Return the result of probing an engine."""
+        return Presence.UNKNOWN if self.engine_by_id[upstream].is_down else Presence.PRESENT
 
     def after(self, seconds: float, function: Callable[[], None]) -> None:
-        """Call a function later."""
+        """Call a function after a delay."""
         heapq.heappush(self._events, (self.now + seconds, next(self.numbers), function))
 
     def _every(self, seconds: float, function: Callable[[], None]) -> None:
@@ -370,7 +370,7 @@
             function()
             self.after(seconds, call)
 
-        self.after(self.draw.random() * seconds, call)
+        self.after(self.rng.random() * seconds, call)
 
     def _build(self) -> None:
         load = self.load
@@ -390,34 +390,36 @@
         for host, record in records.items():
             hosts = Hosts(host, record, [])
             hosts.replace(records)
-            peers.by_address[record.address] = LoadShares(hosts, peers, Trackers(), mock.Mock())
-        self.hosts = [ReplayHost(self, shares) for shares in peers.by_address.values()]
+            peers.by_address[record.address] = LoadExchange(hosts, peers, Trackers(), mock.Mock())
+        self.hosts = [ReplayHost(self, exchange) for exchange in peers.by_address.values()]
         for host in self.hosts:
-            self._every(READER_NOTICES_S, host.shares.tell_notices)
-            if host.shares.is_summing:
-                self._every(SUMS_S, lambda shares=host.shares: shares.tell_sums(False))
-                totals_s = SUMS_S * TOTALS_EVERY
-                self._every(totals_s, lambda shares=host.shares: shares.tell_sums(True))
+            self._every(READER_NOTICE_INTERVAL_S, host.exchange.send_notices)
+            if host.exchange.is_aggregating:
+                self._every(
+                    SUM_INTERVAL_S, lambda exchange=host.exchange: exchange.send_sums(False)
+                )
+                totals_s = SUM_INTERVAL_S * SUMS_PER_TOTAL
+                self._every(totals_s, lambda exchange=host.exchange: exchange.send_sums(True))
                 self._every(CHECK_INTERVAL_S, lambda probes=host.probes: self._probe(probes))
-        self._plan_callers()
-        self._plan_darkness()
+        self._schedule_callers()
+        self._schedule_outage()
 
     def _probe(self, probes: Probes) -> None:
         for tracker in probes.due():
             probes.probe(tracker)
 
-    def _plan_callers(self) -> None:
-        begin, end, factor = self.load.crowd
+    def _schedule_callers(self) -> None:
+        begin, end, factor = self.load.surge
         for kind in self.load.kinds:
             at = 0.0
             while at < self.load.length_s:
                 rate = kind.per_s * (factor if begin <= at < end else 1.0)
-                at += self.draw.expovariate(rate)
-                self.after(at, lambda kind=kind: self.visit_class(self, kind))
+                at += self.rng.expovariate(rate)
+                self.after(at, lambda kind=kind: self.caller_class(self, kind))
 
-    def _plan_darkness(self) -> None:
-        begin, end, share = self.load.dark
+    def _schedule_outage(self) -> None:
+        begin, end, share = self.load.outage
         engines = list(self.engine_by_id.values())
-        for engine in self.draw.sample(engines, round(share * len(engines))):
-            self.after(begin, engine.turn_dark)
-            self.after(end, engine.turn_light)
+        for engine in self.rng.sample(engines, round(share * len(engines))):
+            self.after(begin, engine.go_down)
+            self.after(end, engine.come_up)
--- a/libs/serving/ruddersaddle_serving/tests/test_probes.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_probes.py
@@ -9,7 +9,7 @@
 from ruddersaddle_serving.ports import Presence
 from ruddersaddle_serving.probes import PROBE_INTERVAL_S, Probes
 from ruddersaddle_serving.tests.fixed_clocks import FixedClockTest
-from ruddersaddle_serving.trackers import Notice, Progress, Reach, Trackers
+from ruddersaddle_serving.trackers import Notice, Progress, Reachability, Trackers
 from ruddersaddle_serving.upstream_entries import UpstreamEntry
 
 ENGINE = UpstreamId("e-1")
@@ -33,16 +33,16 @@
         hosts.replace(records)
         trackers = Trackers()
         entry = UpstreamEntry(ENGINE, PoolId("p"), "10.1.0.1:80", HallId("hall-0"), 8, False, {})
-        tracker = trackers.at(entry)
+        tracker = trackers.get_or_create(entry)
         engines = mock.Mock()
         engines.presence.return_value = Presence.PRESENT
-        return Probes(hosts, trackers, engines, lambda notice: tracker.take_notice(own, notice))
+        return Probes(hosts, trackers, engines, lambda notice: tracker.apply_notice(own, notice))
 
     def become_unresponsive(self, probes: Probes) -> None:
         tracker = probes.trackers.by_id[ENGINE]
-        tracker.take_notice("x", Notice(ENGINE, 1, Progress.SENT, expected_s=0.1))
-        ended = Notice(ENGINE, 1, Progress.ENDED, reach=Reach.NO_CONNECTION)
-        tracker.take_notice("x", ended)
+        tracker.apply_notice("x", Notice(ENGINE, 1, Progress.SENT, expected_s=0.1))
+        ended = Notice(ENGINE, 1, Progress.ENDED, reachability=Reachability.NO_CONNECTION)
+        tracker.apply_notice("x", ended)
 
     def run_for(self, seconds: float) -> int:
         """Check for due probes ten times a second; return how many were made."""
@@ -69,10 +69,10 @@
         self.become_unresponsive(self.probes)
         self.probes.engines.presence.return_value = Presence.DOWN
         self.assertIn(self.run_for(4.0), range(8, round(4.0 / PROBE_INTERVAL_S) + 1))
-        self.assertFalse(self.tracker.is_sound)
+        self.assertFalse(self.tracker.is_healthy)
         self.probes.engines.presence.return_value = Presence.PRESENT
         self.run_for(2 * PROBE_INTERVAL_S)
-        self.assertTrue(self.tracker.is_sound)
+        self.assertTrue(self.tracker.is_healthy)
         self.assertEqual(self.run_for(4.0), 0)
 
     def test_address_of_another_upstream_is_not_probed_again(self) -> None:
@@ -80,7 +80,7 @@
         self.become_unresponsive(self.probes)
         self.probes.engines.presence.return_value = Presence.REPLACED
         self.assertEqual(self.run_for(4.0), 1)
-        self.assertFalse(self.tracker.is_sound)
+        self.assertFalse(self.tracker.is_healthy)
 
     def test_upstream_that_accepts_connections_but_answers_nothing_is_probed_less_and_less(
         self,
@@ -89,7 +89,7 @@
         for _ in range(4):
             began = self.probes.count
             for _ in range(40):
-                if not self.tracker.is_silent:
+                if not self.tracker.is_unresponsive:
                     self.now += 0.5
                     self.become_unresponsive(self.probes)
                 self.run_for(0.1)
--- a/libs/serving/ruddersaddle_serving/upstream_shares.py
+++ b/libs/serving/ruddersaddle_serving/upstream_shares.py
@@ -80,7 +80,7 @@
         if pool is None or not pool.cold_per_s:
             return float("-inf")
         again_at = max(
-            tracker.silence.ended_at,
+            tracker.liveness.recovered_at,
             self.publications.evacuations.ended_at(tracker.entry.hall),
         )
         told_until = self.upstreams.cold.until(tracker.entry.instance)
@@ -108,7 +108,7 @@
 
     def note_sent(self, tracker: Tracker) -> None:
         """Count a request that leaves for an upstream, bounded or not: it may be at once."""
-        tracker.sends.note(clocks.now_s())
+        tracker.sends.record(clocks.now_s())
         self.cold_sent += self.is_cold(tracker)
         self.limited_sent += tracker.reported.rate_limit.is_named
 
