--- a/libs/serving/ruddersaddle_serving/tests/crash_replays.py
+++ b/libs/serving/ruddersaddle_serving/tests/crash_replays.py
@@ -53,16 +53,16 @@
     def __init__(self, replay: "CrashReplay", entry: UpstreamEntry) -> None:
         entry = msgspec.structs.replace(entry, born_ms=0)
         super().__init__(replay, entry)
-        self.visits: set[CrashVisit] = set()
+        self.callers: set[CrashCaller] = set()
         self.cold_until = 0.0
         self.arrivals: deque[float] = deque()
 
-    def handle(self, visit: "CrashVisit") -> None:
-        if self.is_down or visit.born_ms != self.entry.born_ms:
-            self.replay.after(REFUSED_S, visit.handle_refusal)
+    def handle(self, caller: "CrashCaller") -> None:
+        if self.is_down or caller.born_ms != self.entry.born_ms:
+            self.replay.after(REFUSED_S, caller.handle_refusal)
             return
-        self.visits.add(visit)
-        super().handle(visit)
+        self.callers.add(caller)
+        super().handle(caller)
         self._count_arrival()
 
     def _count_arrival(self) -> None:
@@ -84,10 +84,10 @@
         self.go_down()
         self.cached.clear()
         self.arrivals.clear()
-        broken, self.visits = self.visits, set()
-        for visit in broken:
-            visit.runs += 1
-            self.replay.after(REFUSED_S, visit.handle_crash)
+        broken, self.callers = self.callers, set()
+        for caller in broken:
+            caller.runs += 1
+            self.replay.after(REFUSED_S, caller.handle_crash)
         self.replay.after(self.replay.crashes.down_s, self._start)
 
     def _start(self) -> None:
@@ -113,7 +113,7 @@
         tracker.connections = ReplayConnections(host, entry.id)
 
 
-class CrashVisit(ReplayCaller):
+class CrashCaller(ReplayCaller):
     """A request that a crash may cut; the host then retries it on another engine."""
 
     def _send(self, choice: Choice) -> None:
@@ -139,7 +139,7 @@
 
     def record_end(self) -> None:
         super().record_end()
-        self.replay.engine_by_id[self.upstream].visits.discard(self)
+        self.replay.engine_by_id[self.upstream].callers.discard(self)
 
     def _broadcast(self, progress: Progress, **fields: object) -> None:
         super()._broadcast(progress, born_ms=self.born_ms, **fields)
@@ -158,7 +158,7 @@
     """A simulated load during which engines crash."""
 
     engine_class = CrashEngine
-    caller_class = CrashVisit
+    caller_class = CrashCaller
 
     def __init__(self, load: Load, crashes: Crashes) -> None:
         super().__init__(load)
