--- a/libs/serving/ruddersaddle_serving/crash_shares.py
+++ b/libs/serving/ruddersaddle_serving/crash_shares.py
@@ -1,8 +1,8 @@
-"""How hosts share which requests crash upstreams.
+"""Shares between hosts which requests crash upstreams.
 
-Messages between hosts carry each crash within some milliseconds, but may be dropped without a word,
-and a host may be cut off from the others. What counts is therefore kept in the platform's store as
-well: a host needs nothing but its way to the store to know whom to refuse.
+Messages between hosts carry each crash within milliseconds, but they may be dropped silently, and a
+host may be partitioned from the others. The records are therefore written to the platform's store
+as well: a host that reaches the store knows which requests to refuse.
 """
 
 import logging
@@ -32,34 +32,34 @@
 
 logger = logging.getLogger(__name__)
 
-TELL_S = 0.01
-"""Pause between messages about crashes: one crash ends runs of many requests at a time."""
+SEND_DELAY_S = 0.01
+"""Delay in which crashes are collected into one message: a crash cuts many runs at a time."""
 WRITE_PAUSE_S = 0.2
-"""Least pause between writes of one host. What has to be written meanwhile goes in one call."""
+"""Shortest pause between writes of one host; records that change meanwhile go in one call."""
 WRITES_PER_S = 100.0
-"""Writes of all hosts together, a quarter of what the store takes (400 a second)."""
-LATER_S = 1.0
-"""A host that did not see the last crash itself writes after this time, if the one that did has
-not written yet; readers read a write within some milliseconds."""
+"""Rate limit for the writes of all hosts together: a quarter of the store's 400 a second."""
+BACKUP_WRITE_DELAY_S = 1.0
+"""A host that did not see the last crash itself writes after this delay, unless the host that saw
+it has written by then; readers receive a write within milliseconds."""
 SWEEP_S = 5.0
-"""Pause between looks for records that are over."""
-OUT_MAX = 512
-"""Records that are told in one message or kept in the store; 114 to 145 bytes each."""
+"""Interval at which expired records are removed."""
+CRASH_RECORDS_MAX = 512
+"""Most records sent in one message or kept in the store; each takes 114 to 145 bytes."""
 
 
 class Hop(Enum):
-    """How far a message has come; readers pass it on where hosts are too many to tell all."""
+    """How far a message has been relayed; with many hosts, the halls' readers relay it."""
 
     FIRST = 0
-    """From the host that saw it, to all others or to the reader of its hall."""
+    """From the host that saw the crash, to all others or to the reader of its hall."""
     TO_READERS = 1
     """From that reader, to its hall and the other readers."""
     TO_HALL = 2
     """From another reader, to its hall."""
 
 
-class CrashNews(msgspec.Struct, frozen=True, tag="crash_news"):
-    """Tells crashes that were seen, and suspects that ended whole; it is not answered."""
+class CrashUpdate(msgspec.Struct, frozen=True, tag="crash_news"):
+    """Reports crashes that were seen and suspects that completed; it has no reply."""
 
     address: str
     crashes: tuple[Crash, ...]
@@ -67,16 +67,16 @@
     hop: Hop = Hop.FIRST
 
 
-class Unsent:
-    """What waits to be told."""
+class PendingUpdate:
+    """Crashes and cleared requests that go into the next message."""
 
     def __init__(self) -> None:
-        self.fingerprints_by_start: dict[UpstreamInstance, dict[Fingerprint, None]] = {}
+        self.fingerprints_by_instance: dict[UpstreamInstance, dict[Fingerprint, None]] = {}
         self.cleared: dict[Fingerprint, None] = {}
 
 
 class CrashShares:
-    """Tells and takes crashes, and keeps the records of the store."""
+    """Exchanges crashes with other hosts, and keeps the store's records up to date."""
 
     def __init__(
         self, hosts: Hosts, peers: Peers, store: MetadataStore, records: CrashRecords
@@ -86,18 +86,19 @@
         self.store = store
         self.records = records
         self.confirmed_at = float("-inf")
-        """When the store, or a host that follows it, was asked for what was taken last."""
+        """When the request to the store, or to a host that follows it, was sent whose answer was
+        applied last."""
         self.writes = 0
-        self._unsent_by_hop: dict[Hop, Unsent] = {}
+        self._pending_by_hop: dict[Hop, PendingUpdate] = {}
         self._stored: dict[Fingerprint, CrashRecord] = {}
-        """What the store has, as far as this host knows."""
-        self._seen_here: dict[Fingerprint, None] = {}
-        """Requests of which this host itself saw a crash, the oldest first."""
-        self._unwritten: set[Fingerprint] = set()
+        """The store's records, as far as this host knows."""
+        self._seen_locally: dict[Fingerprint, None] = {}
+        """Requests with a crash that this host saw itself, the oldest first."""
+        self._dirty: set[Fingerprint] = set()
         self._is_writing = False
 
     def start(self) -> None:
-        """Start the task that takes records that are over out of the store."""
+        """Start the task that removes expired records from the store."""
         spawn_forever("crash records", self._sweep)
 
     @property
@@ -107,51 +108,52 @@
 
     # Between hosts
 
-    def tell_crash(self, crash: Crash) -> None:
-        """Take a crash that this host has seen, and tell it."""
-        self._seen_here.update(dict.fromkeys(crash.fingerprints))
-        while len(self._seen_here) > SUSPECTS_MAX:
-            del self._seen_here[next(iter(self._seen_here))]
-        self._note(crash, 0.0)
-        self._tell_soon(self._first_hop, (crash,), ())
-
-    def tell_cleared(self, fingerprint: Fingerprint) -> None:
-        """Tell that a suspect ended whole; the records have it already."""
-        self._tell_soon(self._first_hop, (), (fingerprint,))
+    def broadcast_crash(self, crash: Crash) -> None:
+        """Record a crash that this host has seen, and send it to the other hosts."""
+        self._seen_locally.update(dict.fromkeys(crash.fingerprints))
+        while len(self._seen_locally) > SUSPECTS_MAX:
+            del self._seen_locally[next(iter(self._seen_locally))]
+        self._record_crash(crash, 0.0)
+        self._send_soon(self._first_hop, (crash,), ())
+
+    def broadcast_cleared(self, fingerprint: Fingerprint) -> None:
+        """Send that a suspect completed; the records must have been updated before."""
+        self._send_soon(self._first_hop, (), (fingerprint,))
         self._write_soon(fingerprint, 0.0)
 
     @property
     def _first_hop(self) -> Hop:
-        return Hop.TO_READERS if self._is_reader_of_many else Hop.FIRST
+        return Hop.TO_READERS if self._relays_for_hall else Hop.FIRST
 
-    def _tell_soon(
+    def _send_soon(
         self, hop: Hop, crashes: Iterable[Crash], cleared: Iterable[Fingerprint]
     ) -> None:
-        """Send a message after a pause, with all that comes until then.
+        """Send a message after a delay, with everything that is added until then.
 
-        Hundreds of hosts may lose runs at one upstream. A reader that passed on each one's word by
-        itself would make 37,800 messages of one crash with 195 hosts in five halls; these are 990.
+        Hundreds of hosts may lose runs at one upstream. With 195 hosts in five halls, readers that
+        relayed each report by itself would send 37,800 messages for one crash; this way it is 990.
         """
-        unsent = self._unsent_by_hop.get(hop)
-        if unsent is None:
-            unsent = self._unsent_by_hop[hop] = Unsent()
-            eventlet.spawn_after(TELL_S, self._tell, hop)
+        pending = self._pending_by_hop.get(hop)
+        if pending is None:
+            pending = self._pending_by_hop[hop] = PendingUpdate()
+            eventlet.spawn_after(SEND_DELAY_S, self._send, hop)
         for crash in crashes:
-            found = unsent.fingerprints_by_start.setdefault(crash.start, {})
+            found = pending.fingerprints_by_instance.setdefault(crash.instance, {})
             found.update(dict.fromkeys(crash.fingerprints))
-        unsent.cleared.update(dict.fromkeys(cleared))
+        pending.cleared.update(dict.fromkeys(cleared))
 
-    def _tell(self, hop: Hop) -> None:
-        unsent = self._unsent_by_hop.pop(hop)
+    def _send(self, hop: Hop) -> None:
+        pending = self._pending_by_hop.pop(hop)
         crashes = tuple(
-            Crash(start, tuple(found)) for start, found in unsent.fingerprints_by_start.items()
+            Crash(instance, tuple(found))
+            for instance, found in pending.fingerprints_by_instance.items()
         )
-        news = CrashNews(self.hosts.own.address, crashes, tuple(unsent.cleared), hop)
-        self.peers.broadcast(self._targets(hop), news)
+        update = CrashUpdate(self.hosts.own.address, crashes, tuple(pending.cleared), hop)
+        self.peers.broadcast(self._targets(hop), update)
 
     @property
-    def _is_reader_of_many(self) -> bool:
-        """Whether this host passes on what the hosts of its hall tell."""
+    def _relays_for_hall(self) -> bool:
+        """Whether this host relays the messages of its hall's hosts."""
         hosts = self.hosts
         return hosts.count > DIRECT_HOSTS_MAX and hosts.hall_reader() == hosts.own.address
 
@@ -168,53 +170,58 @@
             case Hop.TO_HALL:
                 return hosts.hall_addresses()
 
-    def take(self, news: CrashNews) -> None:
-        """Take what another host tells, and pass it on where that is this host's to do."""
+    def apply_update(self, update: CrashUpdate) -> None:
+        """Apply an update of another host, and relay it if this host relays for its hall."""
         now_ms = clocks.unix_ms()
-        for crash in news.crashes:
-            self._note(crash, LATER_S)
-            whole = [each for each in crash.fingerprints if self.records.was_whole(each, now_ms)]
-            for fingerprint in whole:
-                self.tell_cleared(fingerprint)
-        self.take_cleared(news.cleared)
-        if self._is_reader_of_many and news.hop is not Hop.TO_HALL:
-            next_hop = Hop.TO_READERS if news.hop is Hop.FIRST else Hop.TO_HALL
-            self._tell_soon(next_hop, news.crashes, news.cleared)
-
-    def _note(self, crash: Crash, delay_s: float) -> None:
-        for record in self.records.note_crash(crash, clocks.unix_ms()):
-            if len(record.starts) >= SHARED_MIN and self._may_write(record.fingerprint):
+        for crash in update.crashes:
+            self._record_crash(crash, BACKUP_WRITE_DELAY_S)
+            completed = [
+                each for each in crash.fingerprints if self.records.completed_recently(each, now_ms)
+            ]
+            for fingerprint in completed:
+                self.broadcast_cleared(fingerprint)
+        self.apply_cleared(update.cleared)
+        if self._relays_for_hall and update.hop is not Hop.TO_HALL:
+            next_hop = Hop.TO_READERS if update.hop is Hop.FIRST else Hop.TO_HALL
+            self._send_soon(next_hop, update.crashes, update.cleared)
+
+    def _record_crash(self, crash: Crash, delay_s: float) -> None:
+        for record in self.records.record_crash(crash, clocks.unix_ms()):
+            if len(record.instances) >= SHARED_MIN and self._may_write(record.fingerprint):
                 self._write_soon(record.fingerprint, delay_s)
 
     def _may_write(self, fingerprint: Fingerprint) -> bool:
-        """Return whether this host looks after the store's record of a request.
+        """Return whether this host may write the store's record of a request.
 
-        One that has only heard of it, and doesn't follow the store, can't know what is written: of
-        40 hosts 37 wrote what one had.
+        A host that has only received the crash, and does not follow the store, cannot know whether
+        the record was written: without this rule 37 of 40 hosts wrote the same record again.
         """
-        return fingerprint in self._seen_here or self.hosts.is_reader()
+        return fingerprint in self._seen_locally or self.hosts.is_reader()
 
-    # With the store
+    # Between hosts and the store
 
     def confirm(self, asked_at: float) -> None:
-        """Note that the records are as new as a question sent at `asked_at`."""
+        """Record that the records are as new as a request sent at `asked_at`."""
         self.confirmed_at = max(self.confirmed_at, asked_at)
 
-    def note_return(self) -> None:
-        """Take that the store has come back from an earlier copy: what it has is not known."""
+    def record_restore(self) -> None:
+        """Record that the store was restored from a copy: its records are not known any more."""
         self._stored.clear()
 
     def write_missing(self) -> None:
-        """Write what a store that was read whole lacks: one reader, the next one if it doesn't."""
+        """Write the records that a completely read store lacks.
+
+        The first reader writes at once; the others wait by their rank, in case that it does not.
+        """
         if not self.hosts.is_reader():
             return
-        delay_s = LATER_S * self.hosts.reader_rank()
+        delay_s = BACKUP_WRITE_DELAY_S * self.hosts.reader_rank()
         for record in self.records.shared():
-            if self._lacks(record.fingerprint):
+            if self._store_lacks(record.fingerprint):
                 self._write_soon(record.fingerprint, delay_s)
 
-    def take_record(self, record: Record) -> None:
-        """Take one record of the store."""
+    def apply_record(self, record: Record) -> None:
+        """Apply one record of the store; one without a value was deleted."""
         fingerprint = Fingerprint(record.key)
         if not record.value:
             self._stored.pop(fingerprint, None)
@@ -222,24 +229,24 @@
             return
         decoded = decode_json(record.value, CrashRecord, Step.READ, record.key)
         if isinstance(decoded, Failure) or decoded.fingerprint != fingerprint:
-            detail = decoded.detail if isinstance(decoded, Failure) else "it names another request"
+            detail = decoded.detail if isinstance(decoded, Failure) else "it is of another request"
             logger.error("Crash record %s is unreadable. %s", record.key, detail)
             return
         self._stored[fingerprint] = decoded
-        self.take_records((decoded,))
+        self.apply_records((decoded,))
 
-    def take_records(self, records: tuple[CrashRecord, ...]) -> None:
-        """Take what others know, and write what the store lacks of it."""
-        for told in records:
-            merged = self.records.merge(told, clocks.unix_ms())
-            is_more = merged.starts != told.starts and len(merged.starts) >= SHARED_MIN
+    def apply_records(self, records: tuple[CrashRecord, ...]) -> None:
+        """Merge the records of others, and write those to which this host adds crashes."""
+        for received in records:
+            merged = self.records.merge(received, clocks.unix_ms())
+            is_more = merged.instances != received.instances and len(merged.instances) >= SHARED_MIN
             if is_more and self._may_write(merged.fingerprint):
-                self._write_soon(merged.fingerprint, LATER_S)
+                self._write_soon(merged.fingerprint, BACKUP_WRITE_DELAY_S)
 
-    def take_cleared(self, cleared: tuple[Fingerprint, ...]) -> None:
-        """Take which requests were cleared a short while ago; readers clear the store's records.
+    def apply_cleared(self, cleared: tuple[Fingerprint, ...]) -> None:
+        """Clear requests that were recently cleared elsewhere; readers clear the store's records.
 
-        The host that saw it may not know that there is one.
+        The host that saw the request complete may not know that the store has a record of it.
         """
         for fingerprint in cleared:
             self.records.clear(fingerprint, clocks.unix_ms())
@@ -247,32 +254,32 @@
                 self._write_soon(fingerprint, 0.0)
 
     def _write_soon(self, fingerprint: Fingerprint, delay_s: float) -> None:
-        eventlet.spawn_after(delay_s, self._add_unwritten, fingerprint)
+        eventlet.spawn_after(delay_s, self._mark_dirty, fingerprint)
 
-    def _add_unwritten(self, fingerprint: Fingerprint) -> None:
-        if not self._lacks(fingerprint):
+    def _mark_dirty(self, fingerprint: Fingerprint) -> None:
+        if not self._store_lacks(fingerprint):
             return
-        self._unwritten.add(fingerprint)
+        self._dirty.add(fingerprint)
         if not self._is_writing:
             self._is_writing = True
             eventlet.spawn(self._write)
 
-    def _lacks(self, fingerprint: Fingerprint) -> bool:
-        """Return whether the store should have something else of a request."""
+    def _store_lacks(self, fingerprint: Fingerprint) -> bool:
+        """Return whether the store's record of a request is missing or out of date."""
         stored = self._stored.get(fingerprint)
         known = self.records.by_fingerprint.get(fingerprint)
-        if known is None or len(known.starts) < SHARED_MIN:
+        if known is None or len(known.instances) < SHARED_MIN:
             return stored is not None
         if stored is None:
-            return known.is_verdict or len(self._stored) < OUT_MAX
-        return not set(known.starts) <= set(stored.starts)
+            return known.is_refusal or len(self._stored) < CRASH_RECORDS_MAX
+        return not set(known.instances) <= set(stored.instances)
 
     def _write(self) -> None:
-        """Write until the store has what it lacked; a store that is away is tried again."""
+        """Write until the store is up to date; a write that fails is tried again."""
         try:
-            while self._unwritten:
-                self._unwritten = {each for each in self._unwritten if self._lacks(each)}
-                batch = list(self._unwritten)[:OUT_MAX]
+            while self._dirty:
+                self._dirty = {each for each in self._dirty if self._store_lacks(each)}
+                batch = list(self._dirty)[:CRASH_RECORDS_MAX]
                 if batch:
                     self._write_batch(batch)
                 pause_s = max(WRITE_PAUSE_S, self.hosts.count / WRITES_PER_S)
@@ -289,9 +296,11 @@
         self.writes += 1
         failure = self.store.put_all(Topic.CRASHES, values)
         if failure is not None:
-            logger.info("Crash records were not written. %s", failure.detail)
+            logger.info(
+                "Crash records could not be written and will be retried. %s", failure.detail
+            )
             return
-        self._unwritten -= set(batch)
+        self._dirty -= set(batch)
         for fingerprint, record in records.items():
             if record is None:
                 self._stored.pop(fingerprint, None)
@@ -303,8 +312,8 @@
             eventlet.sleep(SWEEP_S)
             now_ms = clocks.unix_ms()
             self.records.sweep(now_ms)
-            over = [key for key, record in self._stored.items() if record.is_over(now_ms)]
-            for fingerprint in over:
+            expired = [key for key, record in self._stored.items() if record.is_expired(now_ms)]
+            for fingerprint in expired:
                 if self.hosts.is_reader():
                     self._write_soon(fingerprint, 0.0)
                 else:
--- a/libs/serving/ruddersaddle_serving/store_followers.py
+++ b/libs/serving/ruddersaddle_serving/store_followers.py
@@ -268,7 +268,7 @@
     def apply(self, page: Page, complete: bool, asked_at: float) -> bool:
         """Take records, then confirm them as of the question."""
         for record in page.records:
-            self.shares.take_record(record)
+            self.shares.apply_record(record)
         if complete:
             self.shares.write_missing()
         self.shares.confirm(asked_at)
@@ -281,4 +281,4 @@
 
     def record_restore(self) -> None:
         """What was written since the copy is gone."""
-        self.shares.note_return()
+        self.shares.record_restore()
--- a/libs/serving/ruddersaddle_serving/tests/load_replays.py
+++ b/libs/serving/ruddersaddle_serving/tests/load_replays.py
@@ -28,7 +28,7 @@
 )
 from ruddersaddle_serving.placements import Choice, Placement
 from ruddersaddle_serving.ports import Presence
-from ruddersaddle_serving.probes import LOOK_S, Probes
+from ruddersaddle_serving.probes import CHECK_INTERVAL_S, Probes
 from ruddersaddle_serving.prompts import CallerHead, CallerRequest, Part, PartId, Prompt
 from ruddersaddle_serving.publications import Publications
 from ruddersaddle_serving.routes import Route, RouteKind, RouteName, Target
@@ -402,7 +402,7 @@
                 )
                 totals_s = SUM_INTERVAL_S * SUMS_PER_TOTAL
                 self._every(totals_s, lambda exchange=host.exchange: exchange.send_sums(True))
-                self._every(LOOK_S, lambda probes=host.probes: self._probe(probes))
+                self._every(CHECK_INTERVAL_S, lambda probes=host.probes: self._probe(probes))
         self._schedule_callers()
         self._schedule_outage()
 
