--- a/libs/daemon/ruddersaddle/generations.py
+++ b/libs/daemon/ruddersaddle/generations.py
@@ -71,7 +71,7 @@
         if isinstance(slot, Failure):
             self.counts.refused += 1
             return slot
-        view.budget.record_first_attempt()
+        view.budget.record_first()
         generation = Generation(self, request, view, slot)
         generation.expected = view.note_granted(cost)
         try:
--- a/libs/daemon/ruddersaddle/service_calls.py
+++ b/libs/daemon/ruddersaddle/service_calls.py
@@ -39,7 +39,7 @@
         view = self.pools.by_id.get(call.pool)
         if view is None:
             return _none_open(call.pool)
-        view.budget.record_first_attempt()
+        view.budget.record_first()
         answer: Answer = _none_open(call.pool)
         tried: set[str] = set()
         while True:
--- a/libs/routing/ruddersaddle_routing/retries.py
+++ b/libs/routing/ruddersaddle_routing/retries.py
@@ -17,7 +17,7 @@
         self.spent = 0
         self.denied = 0
 
-    def record_first_attempt(self) -> None:
+    def record_first(self) -> None:
         """Credit the budget for a first attempt."""
         self.balance = min(self.balance_max, self.balance + self.share)
 
--- a/libs/routing/ruddersaddle_routing/tests/test_queues.py
+++ b/libs/routing/ruddersaddle_routing/tests/test_queues.py
@@ -117,7 +117,7 @@
         taken = sum(budget.try_spend() for _ in range(100))
         self.assertEqual(taken, BUDGET_MAX)
         for _ in range(30):
-            budget.record_first_attempt()
+            budget.record_first()
         self.assertEqual(sum(budget.try_spend() for _ in range(100)), 3)
 
 
--- a/libs/serving/ruddersaddle_serving/admissions.py
+++ b/libs/serving/ruddersaddle_serving/admissions.py
@@ -30,7 +30,7 @@
 the part of an engine's memory that a request needs: one that needs 12,000 of 70,000 tokens takes
 the place of five short ones."""
 
-JUDGED_AS_COMMON_SHARE = 0.75
+JUDGED_AS_MEDIAN_SHARE = 0.75
 """Share of the requests that are judged as if they were of median size. At any load, large requests
 are admitted about this share as often as those of median size; with a smaller share, long prompts
 that fill engines' memory are served less than half as often as the others of their kind."""
--- a/libs/serving/ruddersaddle_serving/forwarders.py
+++ b/libs/serving/ruddersaddle_serving/forwarders.py
@@ -133,7 +133,7 @@
         self.pool = self.forwarder.placement.pick_pool(self.request.route)
         if self.pool is None:
             return Failure(Code.NO_UPSTREAM, Step.ADMIT, self.request.route.name, "no target")
-        self.forwarder.budget.record_first_attempt()
+        self.forwarder.budget.record_first()
         while True:
             result = self._attempt_once(self.request.head.last_event_id)
             if not isinstance(result, Failure):
--- a/libs/serving/ruddersaddle_serving/placements.py
+++ b/libs/serving/ruddersaddle_serving/placements.py
@@ -335,7 +335,7 @@
         admitted ones. As load grows, that size shrinks, so large requests are not starved.
         """
         own_s = best.excess_s(request)
-        if own_s <= 0 or not request.is_judged_as_common:
+        if own_s <= 0 or not request.is_judged_as_median:
             return own_s
         share = self.admitted_sizes.median_share(request.route.name, best.tokens)
         return best.excess_s(request, share)
--- a/libs/serving/ruddersaddle_serving/prompts.py
+++ b/libs/serving/ruddersaddle_serving/prompts.py
@@ -8,7 +8,7 @@
 from ruddersaddle_base import clocks
 from ruddersaddle_base.ids import ModelId, RequestId
 
-from ruddersaddle_serving.admissions import JUDGED_AS_COMMON_SHARE
+from ruddersaddle_serving.admissions import JUDGED_AS_MEDIAN_SHARE
 from ruddersaddle_serving.fingerprints import Fingerprint, make_fingerprint
 from ruddersaddle_serving.routes import Route, Workspace
 
@@ -95,9 +95,9 @@
         return make_fingerprint(self.method, self.target, workspace, self.body)
 
     @cached_property
-    def is_judged_as_common(self) -> bool:
-        """Whether admission treats it as being of common size; drawn once per caller's attempt."""
-        return random.random() < JUDGED_AS_COMMON_SHARE
+    def is_judged_as_median(self) -> bool:
+        """Whether admission judges it as having median size; drawn once per caller's attempt."""
+        return random.random() < JUDGED_AS_MEDIAN_SHARE
 
     @property
     def remaining_s(self) -> float:
--- a/libs/serving/ruddersaddle_serving/self_reports.py
+++ b/libs/serving/ruddersaddle_serving/self_reports.py
@@ -126,7 +126,7 @@
         known = self._latest
         return known is not None and (update.request, update.ended) == (known.request, known.ended)
 
-    def update_from(
+    def limit_update(
         self, report: SelfReport, request: RequestId | None, is_ordinary: bool
     ) -> LimitUpdate | None:
         """Return the update that an arriving answer amounts to; None if it says nothing new.
--- a/libs/serving/ruddersaddle_serving/tests/test_placements.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_placements.py
@@ -46,7 +46,7 @@
     parts = (Part(PartId("shared"), tokens - 10), Part(PartId("own"), 10))
     head = CallerHead(RequestId("q"), None, None, Prompt(MODEL, parts, tokens, 0), None, ())
     request = CallerRequest(head, "POST", "/", b"", ROUTE, None, clocks.now_s())
-    request.is_judged_as_common = as_common
+    request.is_judged_as_median = as_common
     return request
 
 
@@ -128,14 +128,14 @@
         self.assertEqual(large.code, Code.OVERLOADED)
         self.assertGreater(large.retry_after_s, 0)
 
-    def test_large_request_that_is_judged_as_common_is_refused_where_a_common_one_is(self) -> None:
+    def test_large_request_that_is_judged_as_median_is_refused_where_a_common_one_is(self) -> None:
         for _ in range(9):
             self.choose(400, may_refuse=True)
         large, common = make_request(2000, as_common=True), make_request(400)
         outcomes = self.outcomes_while_engines_fill(large, common)
         self.assertEqual(set(outcomes), {(False, False), (True, True)})
 
-    def test_small_request_that_is_judged_as_common_is_admitted_as_by_its_own_size(self) -> None:
+    def test_small_request_that_is_judged_as_median_is_admitted_as_by_its_own_size(self) -> None:
         for _ in range(9):
             self.choose(400, may_refuse=True)
         as_common, by_own_size = (make_request(50, as_common=each) for each in (True, False))
--- a/libs/serving/ruddersaddle_serving/tests/test_self_reports.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_self_reports.py
@@ -22,7 +22,7 @@
         self.limit = RateLimit()
 
     def receive(self, report: SelfReport, is_ordinary: bool = True) -> LimitChange:
-        update = self.limit.update_from(report, REQUEST, is_ordinary)
+        update = self.limit.limit_update(report, REQUEST, is_ordinary)
         return LimitChange.NONE if update is None else self.limit.apply(update)
 
     def test_limit_begins_and_ends_with_what_ordinary_answers_say(self) -> None:
--- a/libs/serving/ruddersaddle_serving/trackers.py
+++ b/libs/serving/ruddersaddle_serving/trackers.py
@@ -268,7 +268,7 @@
         self._apply_backoff(report.backoff_s, request)
         if isinstance(report.limit_per_s, Failure):
             self._warn_malformed(report.limit_per_s, request)
-        limit = self.reported.rate_limit.update_from(report, request, is_ordinary)
+        limit = self.reported.rate_limit.limit_update(report, request, is_ordinary)
         if limit is None and not report.leaving:
             return None
         instance = self.entry.instance
