--- a/libs/serving/ruddersaddle_serving/routes.py
+++ b/libs/serving/ruddersaddle_serving/routes.py
@@ -29,7 +29,7 @@
 
 
 class Route(msgspec.Struct, frozen=True):
-    """Which requests it matches, where they go, and their limits."""
+    """Which requests match, where they are sent, and under which limits."""
 
     name: RouteName
     host: str
