--- a/libs/serving/ruddersaddle_serving/crash_records.py
+++ b/libs/serving/ruddersaddle_serving/crash_records.py
@@ -142,7 +142,7 @@
         self._attribute_crashes([merged])
         return merged
 
-    def record_completion(self, fingerprint: Fingerprint, now_ms: int) -> bool:
+    def record_complete(self, fingerprint: Fingerprint, now_ms: int) -> bool:
         """Record that a run of a request completed; return whether the request was a suspect."""
         self._completed_at.pop(fingerprint, None)
         self._completed_at[fingerprint] = now_ms
--- a/libs/serving/ruddersaddle_serving/crash_watches.py
+++ b/libs/serving/ruddersaddle_serving/crash_watches.py
@@ -93,12 +93,12 @@
 
     # Observations
 
-    def record_completion(self, fingerprint: Fingerprint) -> None:
+    def record_complete(self, fingerprint: Fingerprint) -> None:
         """Record that a run completed, which clears its request."""
-        if self.records.record_completion(fingerprint, clocks.unix_ms()):
+        if self.records.record_complete(fingerprint, clocks.unix_ms()):
             self.notify_cleared(fingerprint)
 
-    def record_broken_run(self, tracker: Tracker, fingerprint: Fingerprint) -> None:
+    def record_broken(self, tracker: Tracker, fingerprint: Fingerprint) -> None:
         """Record that a run broke off, and start to probe its upstream."""
         entry = tracker.entry
         listed = self.upstreams.by_id.get(entry.id)
--- a/libs/serving/ruddersaddle_serving/forwarders.py
+++ b/libs/serving/ruddersaddle_serving/forwarders.py
@@ -251,7 +251,7 @@
             return body
         failed = head.status >= 500
         if head.status < 300:
-            self.forwarder.crashes.record_completion(self.request.fingerprint)
+            self.forwarder.crashes.record_complete(self.request.fingerprint)
         self._end_attempt(failed, f"{upstream} status {head.status}")
         if failed and self._may_repeat():
             again = self._retry_after_error()
@@ -305,7 +305,7 @@
                 continue
             if not data:
                 rest = self.splitter.flush()
-                self.forwarder.crashes.record_completion(self.request.fingerprint)
+                self.forwarder.crashes.record_complete(self.request.fingerprint)
                 self._end_attempt(False, "whole")
                 if rest:
                     yield rest
@@ -348,7 +348,7 @@
     def _end_attempt(self, failed: bool | None, outcome: str) -> None:
         self.trace.attempts.append(outcome)
         if self.attempt.is_broken:
-            self.forwarder.crashes.record_broken_run(
+            self.forwarder.crashes.record_broken(
                 self.attempt.choice.tracker, self.request.fingerprint
             )
         self.attempt.finish(failed)
--- a/libs/serving/ruddersaddle_serving/tests/test_crash_records.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_crash_records.py
@@ -63,27 +63,27 @@
         """Most requests in three crashes or more are bystanders: seven of eight completed."""
         self.crash(0, BAD, OTHER)
         self.crash(1, BAD, OTHER)
-        self.assertTrue(self.records.record_completion(OTHER, self.now_ms))
+        self.assertTrue(self.records.record_complete(OTHER, self.now_ms))
         self.crash(2, BAD, OTHER)
         self.assertTrue(self.is_refused(BAD))
         self.assertFalse(self.is_refused(OTHER))
 
     def test_common_request_in_each_crash_is_no_suspect(self) -> None:
         for number in range(CRASHES_MAX):
-            self.records.record_completion(COMMON, self.now_ms)
+            self.records.record_complete(COMMON, self.now_ms)
             self.crash(number, COMMON, BAD)
         self.assertFalse(self.is_refused(COMMON))
         self.assertTrue(self.is_refused(BAD))
 
     def test_three_crashes_within_a_second_of_its_completion_refuse_no_common_request(self) -> None:
-        self.records.record_completion(COMMON, self.now_ms)
+        self.records.record_complete(COMMON, self.now_ms)
         for number in range(CRASHES_MAX):
             self.crash(number, COMMON, BAD)
         self.assertFalse(self.is_refused(COMMON))
         self.assertTrue(self.is_refused(BAD))
 
     def test_request_that_begins_to_crash_upstreams_is_refused(self) -> None:
-        self.records.record_completion(BAD, self.now_ms)
+        self.records.record_complete(BAD, self.now_ms)
         self.now_ms += RECENT_COMPLETION_MS
         self.refuse(BAD)
         self.assertTrue(self.is_refused(BAD))
@@ -127,7 +127,7 @@
     def test_request_that_a_new_release_runs_is_admitted_again(self) -> None:
         self.refuse(BAD)
         self.now_ms += REFUSAL_MS
-        self.records.record_completion(BAD, self.now_ms)
+        self.records.record_complete(BAD, self.now_ms)
         self.now_ms += RECENT_COMPLETION_MS
         self.crash(3, BAD)
         self.assertFalse(self.is_refused(BAD))
--- a/libs/serving/ruddersaddle_serving/tests/test_crash_shares.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_crash_shares.py
@@ -189,7 +189,7 @@
             fleet[0].broadcast_crash(Crash(instance(number), (BAD,)))
         self.settle()
         self.assertEqual(list(self.store.value_by_key), [BAD])
-        other.records.record_completion(BAD, clocks.unix_ms())
+        other.records.record_complete(BAD, clocks.unix_ms())
         other.broadcast_cleared(BAD)
         self.settle()
         self.assertEqual(self.store.value_by_key, {})
@@ -200,7 +200,7 @@
         for number in range(3):
             fleet[0].broadcast_crash(Crash(instance(number), (BAD,)))
         self.settle()
-        self.assertTrue(fleet[2].records.record_completion(BAD, clocks.unix_ms()))
+        self.assertTrue(fleet[2].records.record_complete(BAD, clocks.unix_ms()))
         fleet[2].broadcast_cleared(BAD)
         self.settle()
         self.assertEqual(self.refusing(fleet), 0)
@@ -208,7 +208,7 @@
 
     def test_host_where_a_common_request_completed_clears_it_on_others(self) -> None:
         fleet = self.make_fleet(1, 2)
-        fleet[1].records.record_completion(COMMON, clocks.unix_ms())
+        fleet[1].records.record_complete(COMMON, clocks.unix_ms())
         for number in range(3):
             fleet[0].broadcast_crash(Crash(instance(number), (COMMON,)))
             self.settle()
--- a/libs/serving/ruddersaddle_serving/tests/test_crash_watches.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_crash_watches.py
@@ -49,7 +49,7 @@
     def count_crashes(self, *presences: Presence, tracker: Tracker | None = None) -> int:
         """Return how many crashes are reported after a broken run and probes with these results."""
         self.engines.presence.side_effect = [*presences, *[presences[-1]] * 9]
-        self.watch.record_broken_run(tracker or self.make_tracker(), BAD)
+        self.watch.record_broken(tracker or self.make_tracker(), BAD)
         eventlet.sleep(0.1)
         return len(self.crashes)
 
@@ -81,8 +81,8 @@
     def test_all_broken_runs_of_an_instance_share_its_probes(self) -> None:
         tracker = self.make_tracker()
         self.engines.presence.return_value = Presence.DOWN
-        self.watch.record_broken_run(tracker, BAD)
-        self.watch.record_broken_run(tracker, OTHER)
+        self.watch.record_broken(tracker, BAD)
+        self.watch.record_broken(tracker, OTHER)
         eventlet.sleep(0.1)
         (crash,) = self.crashes
         self.assertEqual(set(crash.fingerprints), {BAD, OTHER})
@@ -92,7 +92,7 @@
         self.engines.presence.return_value = Presence.DOWN
         for number in range(CRASHES_MAX):
             self.assertIsNone(self.watch.check(BAD, POOL))
-            self.watch.record_broken_run(self.make_tracker(number), BAD)
+            self.watch.record_broken(self.make_tracker(number), BAD)
             eventlet.sleep(0.1)
         failure = self.watch.check(BAD, POOL)
         self.assertEqual(failure.code, Code.CRASHES_UPSTREAMS)
@@ -104,7 +104,7 @@
         """Guards against the second attempt crashing a fourth upstream before the third counts."""
         self.engines.presence.return_value = Presence.DOWN
         for number in range(CRASHES_MAX):
-            self.watch.record_broken_run(self.make_tracker(number), BAD)
+            self.watch.record_broken(self.make_tracker(number), BAD)
             self.watch.wait_for_outcome(BAD)
             if number < CRASHES_MAX - 1:
                 eventlet.sleep(0.1)
@@ -112,15 +112,15 @@
 
     def test_first_retry_after_a_crash_does_not_wait(self) -> None:
         self.engines.presence.return_value = Presence.DOWN
-        self.watch.record_broken_run(self.make_tracker(), BAD)
+        self.watch.record_broken(self.make_tracker(), BAD)
         began = clocks.now_s()
         self.watch.wait_for_outcome(BAD)
         self.assertLess(clocks.now_s() - began, crash_watches.OUTCOME_POLL_S)
 
     def test_completed_run_clears_a_suspect_and_notifies(self) -> None:
         self.count_crashes(Presence.DOWN)
-        self.watch.record_completion(BAD)
-        self.watch.record_completion(OTHER)
+        self.watch.record_complete(BAD)
+        self.watch.record_complete(OTHER)
         self.assertEqual(self.cleared, [BAD])
         self.assertEqual(self.records.count(BAD), 0)
 
