--- a/libs/serving/ruddersaddle_serving/crash_shares.py
+++ b/libs/serving/ruddersaddle_serving/crash_shares.py
@@ -86,8 +86,8 @@
         self.store = store
         self.records = records
         self.confirmed_at = float("-inf")
-        """When the request to the store, or to a host that follows it, was sent whose answer was
-        applied last."""
+        """When the last request to the store, or to a host that follows it, was sent of which the
+        answer was applied."""
         self.writes = 0
         self._pending_by_hop: dict[Hop, PendingUpdate] = {}
         self._stored: dict[Fingerprint, CrashRecord] = {}
@@ -229,7 +229,7 @@
             return
         decoded = decode_json(record.value, CrashRecord, Step.READ, record.key)
         if isinstance(decoded, Failure) or decoded.fingerprint != fingerprint:
-            detail = decoded.detail if isinstance(decoded, Failure) else "it is of another request"
+            detail = decoded.detail if isinstance(decoded, Failure) else "it names another request"
             logger.error("Crash record %s is unreadable. %s", record.key, detail)
             return
         self._stored[fingerprint] = decoded
--- a/libs/serving/ruddersaddle_serving/crash_watches.py
+++ b/libs/serving/ruddersaddle_serving/crash_watches.py
@@ -80,7 +80,7 @@
         return Failure(Code.CRASHES_UPSTREAMS, Step.ADMIT, pool, detail, retry_after_s=left_s)
 
     def wait_for_outcome(self, fingerprint: Fingerprint) -> None:
-        """Wait until it is known whether a broken run means the crash that refuses its request.
+        """Wait for the outcome of probing, if one more crash would get the request refused.
 
         Probing an upstream takes some 0.1 s; a second attempt in that time crashed a fourth one.
         """
--- a/libs/state/ruddersaddle_state/claims.py
+++ b/libs/state/ruddersaddle_state/claims.py
@@ -69,7 +69,9 @@
                 return self._apply_claim(claim, positioned.position)
             case Void() as void:
                 return self._apply_void(void, positioned.position)
-        return RecordResult(Outcome.REJECTED, positioned.position, "not a record of this stream")
+        return RecordResult(
+            Outcome.REJECTED, positioned.position, "the record does not belong to this stream"
+        )
 
     def _apply_claim(self, claim: Claim, position: Position) -> RecordResult:
         if self.is_expired(claim.dated):
--- a/libs/state/ruddersaddle_state/configurations.py
+++ b/libs/state/ruddersaddle_state/configurations.py
@@ -82,7 +82,9 @@
             return RecordResult(Outcome.ACCEPTED, positioned.position)
         if not self.adopt(snapshot):
             return RecordResult(
-                Outcome.STALE, positioned.position, "does not cover what is missing"
+                Outcome.STALE,
+                positioned.position,
+                "the snapshot does not cover the missing records",
             )
         self.position = positioned.position
         return RecordResult(Outcome.ACCEPTED, positioned.position)
@@ -113,7 +115,7 @@
         record = positioned.record
         if not isinstance(record, Change):
             return RecordResult(
-                Outcome.REJECTED, positioned.position, "not a record of this stream"
+                Outcome.REJECTED, positioned.position, "the record does not belong to this stream"
             )
         known = self.result_by_id.get(record.id)
         if known is not None:
--- a/libs/state/ruddersaddle_state/leases.py
+++ b/libs/state/ruddersaddle_state/leases.py
@@ -41,7 +41,9 @@
                 return self._apply_grant(grant, positioned.position)
             case Release() as release:
                 return self._apply_release(release, positioned.position)
-        return RecordResult(Outcome.REJECTED, positioned.position, "not a record of this stream")
+        return RecordResult(
+            Outcome.REJECTED, positioned.position, "the record does not belong to this stream"
+        )
 
     def _apply_grant(self, grant: Grant, position: Position) -> RecordResult:
         lease = self.by_pool.get(grant.pool)
