--- a/libs/state/ruddersaddle_state/configurations.py
+++ b/libs/state/ruddersaddle_state/configurations.py
@@ -90,7 +90,7 @@
         return RecordResult(Outcome.ACCEPTED, positioned.position)
 
     def adopt(self, snapshot: Snapshot) -> bool:
-        """Replace the state by a snapshot, then fold the held-back records; return whether it was.
+        """Replace the state by a snapshot and fold held-back records; return whether this was done.
 
         A snapshot is not adopted if it is older than the state, or if it leaves a gap before the
         records that were held back.
