--- a/libs/serving/ruddersaddle_serving/crash_watches.py
+++ b/libs/serving/ruddersaddle_serving/crash_watches.py
@@ -80,7 +80,7 @@
         return Failure(Code.CRASHES_UPSTREAMS, Step.ADMIT, pool, detail, retry_after_s=left_s)
 
     def wait_for_outcome(self, fingerprint: Fingerprint) -> None:
-        """Wait until it is known whether a broken run means the crash that refuses its request.
+        """Wait for the outcome of probing, if one more crash would get the request refused.
 
         Probing an upstream takes some 0.1 s; a second attempt in that time crashed a fourth one.
         """
@@ -93,12 +93,12 @@
 
     # Observations
 
-    def record_completion(self, fingerprint: Fingerprint) -> None:
+    def record_complete(self, fingerprint: Fingerprint) -> None:
         """Record that a run completed, which clears its request."""
-        if self.records.record_completion(fingerprint, clocks.unix_ms()):
+        if self.records.record_complete(fingerprint, clocks.unix_ms()):
             self.notify_cleared(fingerprint)
 
-    def record_broken_run(self, tracker: Tracker, fingerprint: Fingerprint) -> None:
+    def record_broken(self, tracker: Tracker, fingerprint: Fingerprint) -> None:
         """Record that a run broke off, and start to probe its upstream."""
         entry = tracker.entry
         listed = self.upstreams.by_id.get(entry.id)
--- a/libs/state/ruddersaddle_state/configurations.py
+++ b/libs/state/ruddersaddle_state/configurations.py
@@ -82,13 +82,15 @@
             return RecordResult(Outcome.ACCEPTED, positioned.position)
         if not self.adopt(snapshot):
             return RecordResult(
-                Outcome.STALE, positioned.position, "does not cover what is missing"
+                Outcome.STALE,
+                positioned.position,
+                "the snapshot does not cover the missing records",
             )
         self.position = positioned.position
         return RecordResult(Outcome.ACCEPTED, positioned.position)
 
     def adopt(self, snapshot: Snapshot) -> bool:
-        """Replace the state by a snapshot, then fold the held-back records; return whether it was.
+        """Replace the state by a snapshot and fold held-back records; return whether this was done.
 
         A snapshot is not adopted if it is older than the state, or if it leaves a gap before the
         records that were held back.
@@ -113,7 +115,7 @@
         record = positioned.record
         if not isinstance(record, Change):
             return RecordResult(
-                Outcome.REJECTED, positioned.position, "not a record of this stream"
+                Outcome.REJECTED, positioned.position, "the record does not belong to this stream"
             )
         known = self.result_by_id.get(record.id)
         if known is not None:
