--- a/libs/serving/ruddersaddle_serving/placements.py
+++ b/libs/serving/ruddersaddle_serving/placements.py
@@ -164,7 +164,7 @@
         counts = {
             "upstreams": len(trackers),
             "tried": len(trackers) - len(untried),
-            "resting": len(untried) - len(ready),
+            "backing off": len(untried) - len(ready),
             "at their limit": limited,
             "cold": len(ready) - limited,
         }
--- a/libs/serving/ruddersaddle_serving/tests/test_load_shares.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_load_shares.py
@@ -151,8 +151,8 @@
         for halls, in_hall in ((2, 3), (3, 8)):
             _, fleet = make_fleet(halls, in_hall)
             for ended in (False, True):
-                news = LimitUpdate(2.1, ended, RequestId("q"))
-                fleet[4].broadcast(Notice(ENGINE, 1, Progress.SELF_REPORTED, limit=news))
+                limit = LimitUpdate(2.1, ended, RequestId("q"))
+                fleet[4].broadcast(Notice(ENGINE, 1, Progress.SELF_REPORTED, limit=limit))
                 self.settle(fleet)
                 limited = {
                     each.trackers.by_id[ENGINE].reported.rate_limit.is_advertised for each in fleet
--- a/libs/serving/ruddersaddle_serving/tests/test_placements.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_placements.py
@@ -308,7 +308,7 @@
         self.now += 1.0
         refusal = self.choose()
         self.assertEqual((refusal.code, refusal.ran), (Code.NO_UPSTREAM, Ran.NOT_RUN))
-        self.assertEqual(refusal.detail, "2 upstreams, 2 resting")
+        self.assertEqual(refusal.detail, "2 upstreams, 2 backing off")
         self.assertGreaterEqual(refusal.retry_after_s, 2.0)
         self.assertLessEqual(refusal.retry_after_s, 2.0 + RETRY_SOON_S)
         self.now += 2.0
--- a/libs/serving/ruddersaddle_serving/trackers.py
+++ b/libs/serving/ruddersaddle_serving/trackers.py
@@ -301,21 +301,21 @@
             extra={"request": request},
         )
 
-    def apply_limit(self, news: LimitUpdate | None, reporter: str, is_first_hand: bool) -> None:
+    def apply_limit(self, update: LimitUpdate | None, reporter: str, is_first_hand: bool) -> None:
         """Apply the upstream's rate limit as reported by a host, first hand or not."""
-        if news is None:
+        if update is None:
             return
-        change = self.reported.rate_limit.apply(news, is_first_hand)
+        change = self.reported.rate_limit.apply(update, is_first_hand)
         if change is not LimitChange.NONE:
             logger.info(
                 "Rate limit of upstream %s has %s: %.2f requests a second.",
                 self.entry.instance,
                 change.value,
-                news.per_s,
+                update.per_s,
                 extra={
-                    "request": news.request,
+                    "request": update.request,
                     "told_by": reporter,
-                    "told_age_ms": round(news.age_s * 1000),
+                    "told_age_ms": round(update.age_s * 1000),
                 },
             )
 
