--- a/libs/serving/ruddersaddle_serving/engine_loads.py
+++ b/libs/serving/ruddersaddle_serving/engine_loads.py
@@ -10,9 +10,9 @@
 from ruddersaddle_base import clocks
 
 from ruddersaddle_serving.admissions import Backlog
-from ruddersaddle_serving.paces import Observation, ServiceTime
+from ruddersaddle_serving.liveness import REPORT_TTL_S
 from ruddersaddle_serving.prompts import Part, PartId
-from ruddersaddle_serving.silences import REPORT_TTL_S
+from ruddersaddle_serving.service_times import Observation, ServiceTime
 
 REQUEST_TTL_S = 8.0
 """A request without further notices is dropped after this long, because its host may be gone. Runs
--- a/libs/serving/ruddersaddle_serving/load_shares.py
+++ b/libs/serving/ruddersaddle_serving/load_shares.py
@@ -14,10 +14,10 @@
 
 from ruddersaddle_serving.engine_loads import LoadSum
 from ruddersaddle_serving.hosts import Hosts
-from ruddersaddle_serving.paces import OVERHEAD_S, ServiceTime
+from ruddersaddle_serving.liveness import Liveness
 from ruddersaddle_serving.peers import Peers
 from ruddersaddle_serving.self_reports import LimitUpdate
-from ruddersaddle_serving.silences import Liveness
+from ruddersaddle_serving.service_times import OVERHEAD_S, ServiceTime
 from ruddersaddle_serving.tasks import spawn_forever
 from ruddersaddle_serving.trackers import Notice, Tracker, Trackers
 from ruddersaddle_serving.upstream_entries import UpstreamInstance
--- a/libs/serving/ruddersaddle_serving/tests/test_silences.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_liveness.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from ruddersaddle_serving.silences import REPORT_TTL_S, SILENCE_TIMEOUT_S, Liveness
+from ruddersaddle_serving.liveness import REPORT_TTL_S, SILENCE_TIMEOUT_S, Liveness
 
 ONE, TWO = ("a", 1), ("b", 2)
 
--- a/libs/serving/ruddersaddle_serving/tests/test_paces.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_service_times.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from ruddersaddle_serving.paces import (
+from ruddersaddle_serving.service_times import (
     FACTOR_MAX,
     FACTOR_MIN,
     OVERHEAD_MAX_S,
--- a/libs/serving/ruddersaddle_serving/trackers.py
+++ b/libs/serving/ruddersaddle_serving/trackers.py
@@ -11,7 +11,7 @@
 from ruddersaddle_base.ids import PoolId, RequestId, UpstreamId
 
 from ruddersaddle_serving.engine_loads import EngineLoad, EngineMemory
-from ruddersaddle_serving.paces import ServiceTime
+from ruddersaddle_serving.liveness import REPORT_TTL_S, Liveness
 from ruddersaddle_serving.prompts import Part
 from ruddersaddle_serving.routes import RouteTable
 from ruddersaddle_serving.self_reports import (
@@ -21,7 +21,7 @@
     ReportedState,
     SelfReport,
 )
-from ruddersaddle_serving.silences import REPORT_TTL_S, Liveness
+from ruddersaddle_serving.service_times import ServiceTime
 from ruddersaddle_serving.upstream_connections import UpstreamConnections
 from ruddersaddle_serving.upstream_entries import UpstreamEntry, UpstreamInstance
 
--- a/libs/serving/ruddersaddle_serving/weighings.py
+++ b/libs/serving/ruddersaddle_serving/weighings.py
@@ -14,8 +14,8 @@
 )
 from ruddersaddle_serving.cached_parts import CachedParts, make_salt
 from ruddersaddle_serving.context_stores import StoreView
-from ruddersaddle_serving.paces import nominal_prefill_s
 from ruddersaddle_serving.prompts import CallerRequest, Prompt
+from ruddersaddle_serving.service_times import nominal_prefill_s
 from ruddersaddle_serving.trackers import Tracker
 
 
