--- a/libs/serving/ruddersaddle_serving/engine_loads.py
+++ b/libs/serving/ruddersaddle_serving/engine_loads.py
@@ -19,7 +19,7 @@
 of 160 tokens take a few seconds on a full engine."""
 
 INITIAL_RUN_S = 1.0
-"""Assumed length of a run before the first observation; known kinds take 0.1 to 5 s."""
+"""Assumed length of a run before the first observation; known kinds of requests take 0.1 to 5 s."""
 RUN_WEIGHT = 0.05
 """Weight of the latest run in the moving average, which covers about the last twenty runs, or one
 to two seconds."""
@@ -222,7 +222,7 @@
         levels = priority + 1
         requests = _sum_rows([tuple(self._requests_by_priority), tuple(self._remote_requests())])
         return Backlog(
-            queued_prefill_s=self._queued_prefill_s(priority) * self.service_time.factor,
+            queued_prefill_s=self._queued_prefill_s(priority) * self.service_time.prefill_factor,
             tokens=sum(self._tokens_by_priority[:levels]) + sum(self._remote_tokens()[:levels]),
             requests=sum(requests),
             lower_priority=sum(requests[levels:]),
--- a/libs/serving/ruddersaddle_serving/load_shares.py
+++ b/libs/serving/ruddersaddle_serving/load_shares.py
@@ -36,9 +36,9 @@
 """Interval of the sums that readers send one another: one message for each pair of halls."""
 SUMS_PER_TOTAL = 2
 """Totals are sent to a hall once per this many sums, every 0.08 s. With a view that is 0.25 s old,
-hosts send 120 prompts at the same moment to an engine that looks idle. More often costs CPU time: a
-message of 105 engines has 5.4 KB, and decoding and applying it takes 0.17 ms on each host of a
-hall, without system calls."""
+hosts send 120 prompts at the same moment to an engine that looks idle. More frequent totals cost
+CPU time: a message of 105 engines has 5.4 KB, and decoding and applying it takes 0.17 ms on each
+host of a hall, without system calls."""
 RESPONSE_AGE_MAX_MS = 60_000
 """Longest time since a response that is reported."""
 ROLE_CHECK_INTERVAL_S = 0.5
@@ -216,7 +216,7 @@
         ),
         run_ms=round(1000 * tracker.load.run_s),
         memory_run_ms=round(1000 * tracker.load.memory_run_s),
-        prefill_percent=round(100 * tracker.load.service_time.factor),
+        prefill_percent=round(100 * tracker.load.service_time.prefill_factor),
         response_age_ms=round(min(RESPONSE_AGE_MAX_MS, 1000 * (now - liveness.last_response_at))),
         unresponsive_ms=None
         if unresponsive_since is None
--- a/libs/serving/ruddersaddle_serving/service_times.py
+++ b/libs/serving/ruddersaddle_serving/service_times.py
@@ -15,8 +15,8 @@
 STEP_FACTOR = 1.03
 """Factor by which one observation moves the estimates: from 1 to 2 takes 24 observations, which is
 5 s at five requests a second."""
-FACTOR_MAX = 8.0
-FACTOR_MIN = 0.25
+PREFILL_FACTOR_MAX = 8.0
+PREFILL_FACTOR_MIN = 0.25
 """Bounds of the estimated factor: an engine four times as fast as the nominal one, or eight times
 as slow because the engine or its network links are slowed down."""
 OVERHEAD_MIN_S = 0.002
@@ -43,8 +43,8 @@
     takes three times the median.
     """
 
-    def __init__(self, factor: float = 1.0, overhead_s: float = OVERHEAD_S) -> None:
-        self.factor = factor
+    def __init__(self, prefill_factor: float = 1.0, overhead_s: float = OVERHEAD_S) -> None:
+        self.prefill_factor = prefill_factor
         self.overhead_s = overhead_s
 
     def record(self, observation: Observation, observed_s: float) -> None:
@@ -53,10 +53,12 @@
         Each estimate moves by its share of the predicted time: small prompts mainly adjust the
         overhead, large ones the prefill factor.
         """
-        prefill_s = observation.queued_prefill_s * self.factor
+        prefill_s = observation.queued_prefill_s * self.prefill_factor
         predicted_s = self.overhead_s + prefill_s
         share = prefill_s / predicted_s
         step = STEP_FACTOR if observed_s - observation.fetch_s > predicted_s else 1.0 / STEP_FACTOR
-        self.factor = min(FACTOR_MAX, max(FACTOR_MIN, self.factor * step**share))
+        self.prefill_factor = min(
+            PREFILL_FACTOR_MAX, max(PREFILL_FACTOR_MIN, self.prefill_factor * step**share)
+        )
         overhead_s = self.overhead_s * step ** (1.0 - share)
         self.overhead_s = min(OVERHEAD_MAX_S, max(OVERHEAD_MIN_S, overhead_s))
--- a/libs/serving/ruddersaddle_serving/tests/test_engine_loads.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_engine_loads.py
@@ -19,7 +19,7 @@
         self.assertAlmostEqual(wait_s(self.load, 1, 10, 9000), 0.3)
         self.load.record_first_event(("a", 1))
         self.load.record_first_event(("a", 1))
-        self.load.service_time.factor = 1.0
+        self.load.service_time.prefill_factor = 1.0
         self.assertAlmostEqual(wait_s(self.load, 1, 10, 9000), 0.2)
         self.assertEqual(self.load.tokens, 1500)
         self.load.end(("a", 1))
@@ -81,7 +81,7 @@
             self.now += 0.05 + 0.06 + 3.0 * prefill_s
             self.load.record_first_event(("a", number))
             self.load.end(("a", number))
-        self.assertAlmostEqual(self.load.service_time.factor, 3.0, delta=0.1)
+        self.assertAlmostEqual(self.load.service_time.prefill_factor, 3.0, delta=0.1)
         self.assertAlmostEqual(self.load.service_time.overhead_s, 0.06, delta=0.006)
         self.load.add(("a", 999), 1, 0.1, 10)
         self.assertAlmostEqual(wait_s(self.load, 1, 10, 9000), 0.3, delta=0.01)
@@ -93,7 +93,7 @@
         self.now += 5.0
         for number in range(1, 60):
             self.load.record_first_event(("a", number))
-        self.assertEqual(self.load.service_time.factor, 1.0)
+        self.assertEqual(self.load.service_time.prefill_factor, 1.0)
 
     def test_lower_priorities_are_not_waited_for(self) -> None:
         self.load.add(("a", 1), 2, 0.3, 5000)
--- a/libs/serving/ruddersaddle_serving/tests/test_large_requests.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_large_requests.py
@@ -74,7 +74,7 @@
     return msgspec.structs.replace(load, kinds=tuple(kinds), seed=seed)
 
 
-def with_factor(load: Load, factor: float, seed: int) -> Load:
+def with_sized_scaled(load: Load, factor: float, seed: int) -> Load:
     """Return the load with the rate of the lower-priority kind multiplied."""
     sized = msgspec.structs.replace(SIZED, per_s=SIZED.per_s * factor)
     return msgspec.structs.replace(load, kinds=(sized, URGENT), seed=seed)
@@ -102,20 +102,20 @@
         for factor in (0.7, 1.2, 2.0, 3.0):
             for seed in (1, 2):
                 with self.subTest(factor=factor, seed=seed):
-                    self.replay(with_factor(THREE, factor, seed))
+                    self.replay(with_sized_scaled(THREE, factor, seed))
 
     def test_engines_lost_under_load(self) -> None:
         for factor in (1.2, 2.0):
             with self.subTest(factor=factor):
                 load = msgspec.structs.replace(THREE, outage=(4.0, 12.0, 0.34))
-                self.replay(with_factor(load, factor, 3))
+                self.replay(with_sized_scaled(load, factor, 3))
 
     def test_many_hosts_with_few_large_requests_each(self) -> None:
         """Forty hosts know one another's requests as sums, about a tenth of a second late."""
         load = msgspec.structs.replace(THREE, hosts=40, halls=4, engines=12, length_s=10.0)
         for factor in (4.8, 8.0):
             with self.subTest(factor=factor):
-                self.replay(with_factor(load, factor, 4))
+                self.replay(with_sized_scaled(load, factor, 4))
 
     def test_long_prompts_beside_two_kinds_of_higher_priority(self) -> None:
         """Memory binds; with 0.6 judged as common, 0.23 of the largest tenth, 0.50 of all."""
--- a/libs/serving/ruddersaddle_serving/tests/test_placements.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_placements.py
@@ -159,7 +159,7 @@
         self,
     ) -> None:
         for tracker in (self.first, self.second):
-            tracker.load.service_time.factor = 4.0
+            tracker.load.service_time.prefill_factor = 4.0
         choice = self.choose(9000, may_refuse=True)
         self.assertIsInstance(choice, Choice)
         self.assertGreater(choice.assignment.prefill_s * 4.0, ROUTE.target_latency_s)
@@ -173,7 +173,7 @@
     def test_engine_with_a_slow_observed_prefill_is_avoided(self) -> None:
         self.assertEqual(self.choose(5000).wait_s, 0.0)
         for slow, other in ((self.first, self.second), (self.second, self.first)):
-            slow.load.service_time.factor, other.load.service_time.factor = 3.0, 1.0
+            slow.load.service_time.prefill_factor, other.load.service_time.prefill_factor = 3.0, 1.0
             self.assertIs(self.choose(5000).tracker, other)
 
     def test_admission_follows_observed_service_times(self) -> None:
@@ -181,7 +181,7 @@
             tracker.load.add(("host", 1), 1, 0.1, 100)
         self.assertIsInstance(self.choose(200, may_refuse=True), Choice)
         for tracker in (self.first, self.second):
-            tracker.load.service_time.factor = 4.0
+            tracker.load.service_time.prefill_factor = 4.0
         self.assertIsInstance(self.choose(200, may_refuse=True), Failure)
 
     def test_retried_request_is_sent_however_long_it_would_wait(self) -> None:
--- a/libs/serving/ruddersaddle_serving/tests/test_service_times.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_service_times.py
@@ -3,10 +3,10 @@
 import unittest
 
 from ruddersaddle_serving.service_times import (
-    FACTOR_MAX,
-    FACTOR_MIN,
     OVERHEAD_MAX_S,
     OVERHEAD_MIN_S,
+    PREFILL_FACTOR_MAX,
+    PREFILL_FACTOR_MIN,
     Observation,
     ServiceTime,
     nominal_prefill_s,
@@ -18,7 +18,7 @@
 
 
 def predict_s(model: ServiceTime, tokens: int) -> float:
-    return model.overhead_s + nominal_prefill_s(tokens) * model.factor
+    return model.overhead_s + nominal_prefill_s(tokens) * model.prefill_factor
 
 
 class ServiceTimeTest(unittest.TestCase):
@@ -41,20 +41,20 @@
             record(model, nominal_prefill_s(missing), 0.065 + missing / 112_000.0)
         self.assertAlmostEqual(model.overhead_s, 0.065, delta=0.01)
         self.assertAlmostEqual(
-            nominal_prefill_s(20_000) * model.factor, 20_000 / 112_000.0, delta=0.02
+            nominal_prefill_s(20_000) * model.prefill_factor, 20_000 / 112_000.0, delta=0.02
         )
 
     def test_single_stalls_move_little(self) -> None:
         model = ServiceTime(overhead_s=OVERHEAD_MIN_S)
         for number in range(300):
             record(model, 0.1, 2.0 if number % 5 == 0 else 0.1 + 0.001 * (number % 7))
-        self.assertAlmostEqual(model.overhead_s + 0.1 * model.factor, 0.103, delta=0.008)
+        self.assertAlmostEqual(model.overhead_s + 0.1 * model.prefill_factor, 0.103, delta=0.008)
 
     def test_fetch_time_is_separated(self) -> None:
         model = ServiceTime()
         for _ in range(300):
             model.record(Observation(0.1, 0.5), 0.5 + 0.06 + 0.1)
-        self.assertAlmostEqual(model.overhead_s + 0.1 * model.factor, 0.16, delta=0.01)
+        self.assertAlmostEqual(model.overhead_s + 0.1 * model.prefill_factor, 0.16, delta=0.01)
 
     def test_estimates_are_bounded(self) -> None:
         slow, fast = ServiceTime(), ServiceTime()
@@ -62,7 +62,9 @@
             prefill_s = (0.001, 10.0)[number % 2]
             record(slow, prefill_s, 600.0)
             record(fast, prefill_s, 0.0)
-        self.assertEqual((slow.factor, fast.factor), (FACTOR_MAX, FACTOR_MIN))
+        self.assertEqual(
+            (slow.prefill_factor, fast.prefill_factor), (PREFILL_FACTOR_MAX, PREFILL_FACTOR_MIN)
+        )
         self.assertEqual((slow.overhead_s, fast.overhead_s), (OVERHEAD_MAX_S, OVERHEAD_MIN_S))
 
 
--- a/libs/serving/ruddersaddle_serving/trackers.py
+++ b/libs/serving/ruddersaddle_serving/trackers.py
@@ -398,8 +398,8 @@
         ]
         if not service_times:
             return ServiceTime()
-        factor = median_low([each.factor for each in service_times])
-        return ServiceTime(factor, median_low([each.overhead_s for each in service_times]))
+        prefill_factor = median_low([each.prefill_factor for each in service_times])
+        return ServiceTime(prefill_factor, median_low([each.overhead_s for each in service_times]))
 
     def keep_only(self, upstreams: set[UpstreamId]) -> None:
         """Remove upstreams that are gone and have no request in flight."""
--- a/libs/serving/ruddersaddle_serving/weighings.py
+++ b/libs/serving/ruddersaddle_serving/weighings.py
@@ -124,7 +124,7 @@
             capacity=capacity,
             fetch_s=fetch_s,
             prefill_s=nominal_prefill_s(missing),
-            prefill_factor=tracker.load.service_time.factor,
+            prefill_factor=tracker.load.service_time.prefill_factor,
             overhead_s=tracker.load.service_time.overhead_s,
             tokens=tokens,
             covered_tokens=cached,
