--- a/libs/serving/ruddersaddle_serving/trackers.py
+++ b/libs/serving/ruddersaddle_serving/trackers.py
@@ -11,7 +11,7 @@
 from ruddersaddle_base.ids import PoolId, RequestId, UpstreamId
 
 from ruddersaddle_serving.engine_loads import EngineLoad, EngineMemory
-from ruddersaddle_serving.paces import ServiceTime
+from ruddersaddle_serving.liveness import REPORT_TTL_S, Liveness
 from ruddersaddle_serving.prompts import Part
 from ruddersaddle_serving.routes import RouteTable
 from ruddersaddle_serving.self_reports import (
@@ -21,7 +21,7 @@
     ReportedState,
     SelfReport,
 )
-from ruddersaddle_serving.silences import REPORT_TTL_S, Liveness
+from ruddersaddle_serving.service_times import ServiceTime
 from ruddersaddle_serving.upstream_connections import UpstreamConnections
 from ruddersaddle_serving.upstream_entries import UpstreamEntry, UpstreamInstance
 
@@ -301,21 +301,21 @@
             extra={"request": request},
         )
 
-    def apply_limit(self, news: LimitUpdate | None, reporter: str, is_first_hand: bool) -> None:
+    def apply_limit(self, update: LimitUpdate | None, reporter: str, is_first_hand: bool) -> None:
         """Apply the upstream's rate limit as reported by a host, first hand or not."""
-        if news is None:
+        if update is None:
             return
-        change = self.reported.rate_limit.apply(news, is_first_hand)
+        change = self.reported.rate_limit.apply(update, is_first_hand)
         if change is not LimitChange.NONE:
             logger.info(
                 "Rate limit of upstream %s has %s: %.2f requests a second.",
                 self.entry.instance,
                 change.value,
-                news.per_s,
+                update.per_s,
                 extra={
-                    "request": news.request,
+                    "request": update.request,
                     "told_by": reporter,
-                    "told_age_ms": round(news.age_s * 1000),
+                    "told_age_ms": round(update.age_s * 1000),
                 },
             )
 
@@ -398,8 +398,8 @@
         ]
         if not service_times:
             return ServiceTime()
-        factor = median_low([each.factor for each in service_times])
-        return ServiceTime(factor, median_low([each.overhead_s for each in service_times]))
+        prefill_factor = median_low([each.prefill_factor for each in service_times])
+        return ServiceTime(prefill_factor, median_low([each.overhead_s for each in service_times]))
 
     def keep_only(self, upstreams: set[UpstreamId]) -> None:
         """Remove upstreams that are gone and have no request in flight."""
--- a/libs/serving/ruddersaddle_serving/weighings.py
+++ b/libs/serving/ruddersaddle_serving/weighings.py
@@ -14,8 +14,8 @@
 )
 from ruddersaddle_serving.cached_parts import CachedParts, make_salt
 from ruddersaddle_serving.context_stores import StoreView
-from ruddersaddle_serving.paces import nominal_prefill_s
 from ruddersaddle_serving.prompts import CallerRequest, Prompt
+from ruddersaddle_serving.service_times import nominal_prefill_s
 from ruddersaddle_serving.trackers import Tracker
 
 
@@ -124,7 +124,7 @@
             capacity=capacity,
             fetch_s=fetch_s,
             prefill_s=nominal_prefill_s(missing),
-            prefill_factor=tracker.load.service_time.factor,
+            prefill_factor=tracker.load.service_time.prefill_factor,
             overhead_s=tracker.load.service_time.overhead_s,
             tokens=tokens,
             covered_tokens=cached,
