--- a/libs/serving/ruddersaddle_serving/tests/test_upstream_lists.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_upstream_lists.py
@@ -21,11 +21,11 @@
     def ids(self) -> list[UpstreamId]:
         return [entry.id for entry in self.upstreams.of_pool(ENTRY.pool)]
 
-    def test_entry_that_goes_on_a_calm_day_is_gone_at_once(self) -> None:
+    def test_missing_entry_is_dropped_at_once_without_an_outage(self) -> None:
         self.upstreams.remove(ENTRY.id)
         self.assertEqual(self.ids(), [])
 
-    def test_entry_that_lapsed_in_an_outage_is_kept_until_it_should_be_back(self) -> None:
+    def test_entry_that_lapsed_in_an_outage_is_kept_for_the_grace_period(self) -> None:
         self.upstreams.record_outage()
         self.now += 1.0
         self.upstreams.replace([], self.now)
@@ -38,38 +38,38 @@
         self.assertEqual(self.ids(), [])
 
     def end_outage(self) -> None:
-        """Let the store answer again after it has been away."""
+        """Let the store answer again after an outage."""
         self.upstreams.record_outage()
         self.now += 0.5
         self.upstreams.confirm(self.now)
 
-    def test_entry_that_goes_later_than_what_lapsed_is_back_is_gone_at_once(self) -> None:
+    def test_entry_missing_after_the_grace_period_is_dropped_at_once(self) -> None:
         self.end_outage()
         self.now += 2.1
         self.upstreams.remove(ENTRY.id)
         self.assertEqual(self.ids(), [])
 
-    def test_entry_that_was_written_since_the_return_is_gone_at_once(self) -> None:
+    def test_entry_written_since_the_outage_is_dropped_at_once(self) -> None:
         self.end_outage()
         self.now += 0.5
         self.upstreams.put_written(ENTRY)
         self.upstreams.remove(ENTRY.id)
         self.assertEqual(self.ids(), [])
 
-    def test_entry_that_was_written_between_two_outages_may_have_lapsed_in_the_second(self) -> None:
+    def test_entry_written_between_two_outages_may_have_lapsed_in_the_second(self) -> None:
         self.end_outage()
         self.upstreams.put_written(ENTRY)
         self.end_outage()
         self.upstreams.remove(ENTRY.id)
         self.assertEqual(self.ids(), [ENTRY.id])
 
-    def test_entry_read_with_the_first_answer_was_perhaps_written_before_the_outage(self) -> None:
+    def test_entry_in_the_first_response_may_have_been_written_before_the_outage(self) -> None:
         self.upstreams.record_outage()
         self.upstreams.put_written(ENTRY)
         self.upstreams.remove(ENTRY.id)
         self.assertEqual(self.ids(), [ENTRY.id])
 
-    def test_grace_ends_although_the_store_goes_on_turning_this_host_away(self) -> None:
+    def test_grace_ends_although_the_store_keeps_rejecting_this_host(self) -> None:
         self.upstreams.record_outage()
         self.upstreams.remove(ENTRY.id)
         for _ in range(6):
@@ -79,14 +79,14 @@
             self.upstreams.confirm(self.now)
         self.assertEqual(self.ids(), [])
 
-    def test_what_another_host_has_taken_out_for_good_is_not_kept_for_its_grace(self) -> None:
+    def test_entry_that_another_host_has_dropped_is_not_kept(self) -> None:
         self.end_outage()
         self.upstreams.replace_reported([], [], self.now)
         self.assertEqual(self.ids(), [ENTRY.id])
         self.upstreams.replace_reported([], [], self.now, [ENTRY.instance])
         self.assertEqual(self.ids(), [])
 
-    def test_entry_that_comes_back_after_an_outage_stays(self) -> None:
+    def test_entry_written_again_after_an_outage_stays(self) -> None:
         self.upstreams.record_outage()
         self.upstreams.remove(ENTRY.id)
         self.upstreams.put(ENTRY)
@@ -94,50 +94,50 @@
         self.upstreams.confirm(self.now)
         self.assertEqual(self.ids(), [ENTRY.id])
 
-    def test_leave_is_never_taken_back(self) -> None:
+    def test_leaving_is_final(self) -> None:
         self.upstreams.put(msgspec.structs.replace(ENTRY, leaving=True))
         self.upstreams.put(ENTRY)
         self.assertEqual(self.ids(), [])
 
-    def test_leave_said_in_an_answer_outlasts_entries_that_say_otherwise(self) -> None:
+    def test_leave_announced_in_a_response_outlasts_entries_that_say_otherwise(self) -> None:
         ready = msgspec.structs.replace(ENTRY, born_ms=1000)
         self.upstreams.put(ready)
         self.upstreams.record_leaving(ready.instance, RequestId("q"), "host")
         self.assertEqual(self.ids(), [])
-        for bring_back in (
+        for apply_again in (
             lambda: self.upstreams.put(ready),
             lambda: self.upstreams.replace([ready], self.now),
             lambda: self.upstreams.replace_reported([ready], [], self.now),
             lambda: self.upstreams.drop(ready.id) or self.upstreams.put(ready),
             lambda: self.upstreams.record_restore() or self.upstreams.replace([ready], self.now),
         ):
-            bring_back()
+            apply_again()
             self.assertEqual(self.ids(), [])
         later = msgspec.structs.replace(ENTRY, born_ms=2000)
         self.upstreams.put(later)
         self.assertEqual(self.upstreams.of_pool(ENTRY.pool), [later])
 
-    def test_leave_told_before_its_entry_is_read_counts(self) -> None:
+    def test_leave_reported_before_the_entry_is_read_counts(self) -> None:
         started = UpstreamList()
         self.upstreams.record_leaving(ENTRY.instance, RequestId("q"), "host")
         started.apply_leaving(self.upstreams.leaving())
         started.replace([ENTRY], self.now)
         self.assertEqual(started.of_pool(ENTRY.pool), [])
 
-    def test_next_start_under_the_same_id_is_not_leaving(self) -> None:
+    def test_next_instance_of_the_same_id_is_not_leaving(self) -> None:
         leaving = msgspec.structs.replace(ENTRY, leaving=True, born_ms=1000)
         self.upstreams.put(leaving)
         self.upstreams.put(msgspec.structs.replace(ENTRY, born_ms=2000))
         self.assertEqual(self.ids(), [ENTRY.id])
 
-    def test_late_entry_of_an_earlier_start_changes_nothing(self) -> None:
+    def test_late_entry_of_an_earlier_instance_changes_nothing(self) -> None:
         later = msgspec.structs.replace(ENTRY, born_ms=2000)
         self.upstreams.put(later)
         self.upstreams.put(msgspec.structs.replace(ENTRY, leaving=True, born_ms=1000))
         self.assertEqual(self.upstreams.of_pool(ENTRY.pool), [later])
 
-    def test_list_of_a_host_that_keeps_a_lapsed_entry_does_not_put_it_back(self) -> None:
-        """Two readers: one has read the leave, the other is just out of an outage."""
+    def test_lapsing_entry_of_another_host_is_not_added_again(self) -> None:
+        """Of two readers, one has read the leave, the other has just had an outage."""
         other = UpstreamList()
         other.replace([ENTRY], self.now)
         other.record_outage()
@@ -150,13 +150,13 @@
         self.upstreams.replace_reported(other.by_id.values(), other.lapsing, self.now)
         self.assertEqual(self.ids(), [ENTRY.id])
 
-    def test_entry_that_another_host_keeps_for_its_grace_stays_where_it_is_known(self) -> None:
+    def test_lapsing_entry_of_another_host_stays_where_it_is_known(self) -> None:
         self.upstreams.replace_reported([ENTRY], [ENTRY.id], self.now)
         self.assertEqual(self.ids(), [ENTRY.id])
         self.upstreams.replace_reported([], [], self.now)
         self.assertEqual(self.ids(), [])
 
-    def test_two_hosts_that_tell_one_another_of_a_lapsed_entry_both_give_it_up(self) -> None:
+    def test_two_hosts_that_exchange_a_lapsing_entry_both_drop_it(self) -> None:
         other = UpstreamList()
         other.replace([ENTRY], self.now)
         hosts = (self.upstreams, other)
@@ -165,29 +165,29 @@
             each.remove(ENTRY.id)
         for _ in range(12):
             self.now += 0.2
-            for teller, told in (hosts, hosts[::-1]):
-                told.replace_reported(teller.by_id.values(), teller.lapsing, self.now)
+            for sender, receiver in (hosts, hosts[::-1]):
+                receiver.replace_reported(sender.by_id.values(), sender.lapsing, self.now)
         self.assertEqual([list(each.by_id) for each in hosts], [[], []])
 
-    def test_entry_that_its_teller_alone_keeps_for_its_grace_is_given_up_here_as_well(self) -> None:
+    def test_lapsing_entry_of_another_host_is_dropped_after_the_grace_period(self) -> None:
         self.upstreams.replace_reported([ENTRY], [ENTRY.id], self.now)
         self.now += 2.1
         self.assertEqual(self.ids(), [])
 
-    def test_list_told_by_a_host_that_has_just_started_does_not_bring_back_what_left(self) -> None:
+    def test_list_of_a_host_that_has_just_started_adds_no_gone_instance(self) -> None:
         self.upstreams.remove(ENTRY.id)
         self.upstreams.record_restore()
         self.upstreams.replace_reported([ENTRY], [], self.now)
         self.assertEqual(self.ids(), [])
 
-    def test_start_that_others_know_to_have_left_is_not_read_from_a_copy(self) -> None:
+    def test_instance_that_others_know_to_be_gone_is_not_read_from_a_copy(self) -> None:
         started = UpstreamList()
         started.replace_reported([], [], self.now, [ENTRY.instance])
         started.record_restore()
         started.replace([ENTRY], self.now)
         self.assertEqual(list(started.by_id), [])
 
-    def test_copy_of_the_store_names_starts_that_have_left(self) -> None:
+    def test_gone_instances_in_a_restored_copy_are_ignored(self) -> None:
         self.upstreams.remove(ENTRY.id)
         self.upstreams.record_restore()
         self.upstreams.replace([ENTRY], self.now)
@@ -196,12 +196,12 @@
         self.upstreams.replace([later], self.now)
         self.assertEqual(self.ids(), [ENTRY.id])
 
-    def test_entries_that_a_copy_lacks_are_kept_until_they_are_written_again(self) -> None:
+    def test_entries_missing_in_a_restored_copy_are_kept_until_written_again(self) -> None:
         self.upstreams.record_restore()
         self.upstreams.replace([], self.now)
         self.assertEqual(self.ids(), [ENTRY.id])
 
-    def test_what_others_know_to_have_left_is_taken_out_by_a_host_that_has_just_started(
+    def test_host_that_has_just_started_drops_what_others_know_to_be_gone(
         self,
     ) -> None:
         self.upstreams.record_gone([ENTRY.instance])
--- a/libs/serving/ruddersaddle_serving/upstream_entries.py
+++ b/libs/serving/ruddersaddle_serving/upstream_entries.py
@@ -1,31 +1,31 @@
-"""What upstreams say of themselves: which start of them lives, where, and whether it is cold."""
+"""What upstreams publish about themselves: instance, address, state, and whether it is cold."""
 
 import msgspec
 from ruddersaddle_base.ids import HallId, ModelId, PoolId, UpstreamId
 
 
 class UpstreamInstance(msgspec.Struct, frozen=True, array_like=True):
-    """One start of an upstream; under one id there may be several."""
+    """One process of an upstream; one id may have several, one after another."""
 
     id: UpstreamId
     born_ms: int | None = None
-    """Unix time of the start; None where the upstream doesn't tell it."""
+    """Unix time at which the process started; None if the upstream doesn't publish it."""
 
     def __str__(self) -> str:
         return self.id if self.born_ms is None else f"{self.id} of {self.born_ms}"
 
 
 class Heartbeat(msgspec.Struct, frozen=True, array_like=True):
-    """What changes with each write of an upstream's entry."""
+    """The part of an upstream's entry that changes with each write."""
 
     sequence: int
-    """Number of the write; it rises within one start."""
+    """Number of the write; it rises within one instance."""
     cold_s: float
-    """How much longer the upstream is cold, in seconds from the write on; 0 where it is warm."""
+    """Seconds from the write on for which the upstream is still cold; 0 if it is warm."""
 
 
 class UpstreamEntry(msgspec.Struct, frozen=True):
-    """One start of one upstream, as it describes itself."""
+    """One instance of an upstream, as it describes itself."""
 
     id: UpstreamId
     pool: PoolId
@@ -35,17 +35,17 @@
     leaving: bool
     version_by_model: dict[ModelId, int]
     born_ms: int | None = None
-    """Unix time of its start; None where it is not told."""
+    """Unix time at which the process started; None if it is not published."""
     heartbeat: Heartbeat | None = None
-    """With an entry as it was read; lists of entries keep it apart."""
+    """Set in an entry as it is read from the store; lists of entries keep it separately."""
 
     @property
     def instance(self) -> UpstreamInstance:
-        """Which start of the upstream this is."""
+        """Which instance of the upstream this entry describes."""
         return UpstreamInstance(self.id, self.born_ms)
 
     def is_later_than(self, other: "UpstreamEntry") -> bool:
-        """Return whether this is a later start under the same id than another entry's."""
+        """Return whether this is a later instance of the same id than that of another entry."""
         if self.born_ms is None or other.born_ms is None:
             return False
         return self.born_ms > other.born_ms
--- a/libs/serving/ruddersaddle_serving/upstream_lists.py
+++ b/libs/serving/ruddersaddle_serving/upstream_lists.py
@@ -1,4 +1,4 @@
-"""Which upstreams there are, as their own entries in the platform's store say."""
+"""The list of upstreams, built from the entries that they write to the platform's store."""
 
 import logging
 import random
@@ -14,92 +14,95 @@
 logger = logging.getLogger(__name__)
 
 LAPSE_GRACE_S = 2.0
-"""An entry that lapsed in an outage of the store is kept until so long after the return: if its
-upstream lives, it is back by then."""
+"""How long after an outage of the store an entry that lapsed in it is kept: an upstream that is
+alive has written its entry again by then."""
 REVISION_BITS = 40
 OUTAGE_MEMORY_S = 4.0
-"""How long after an outage the list may lack upstreams that live: two seconds until they write
-again, and two for this host to read it."""
+"""How long after an outage the list may lack upstreams that are alive: two seconds until they write
+again, and two until this host has read it."""
 RESTORE_MEMORY_S = 10.0
-"""How long after the store's return from a copy a whole list may still name starts that are gone:
-what upstreams don't write again lapses after three reports of silence (3.6 s)."""
+"""How long after a restore of the store a complete list may still contain instances that are gone:
+an entry that is not written again lapses after three missed heartbeats (3.6 s)."""
 REMEMBERED_MAX = 1000
-"""Starts that are remembered as gone, or as leaving; a release of 450 upstreams ends as many."""
+"""Number of instances remembered as gone, and as leaving; a release of 450 upstreams ends as
+many."""
 REPORTED_MAX = 50
-"""Of these as many are told to another host, about 1 KB."""
+"""Number of these instances that are sent to another host, about 1 KB."""
 UP_TO_DATE_S = 3.0
-"""Oldest list that counts as complete; hosts hear of others' reads within 1.9 s."""
+"""Age up to which a list counts as up to date; hosts receive what others read within 1.9 s."""
 
 
 class UpstreamList:
-    """The entries by id. Times are of the steady clock, in seconds."""
+    """The entries by id. All times are of the steady clock, in seconds."""
 
     def __init__(self) -> None:
         self.by_id: dict[UpstreamId, UpstreamEntry] = {}
         self.cold = ColdStarts()
         self.complete = False
         self.revision = random.getrandbits(REVISION_BITS)
-        """Grows with each change of an entry; begins anywhere, so that two processes differ."""
+        """Grows with each change of an entry; starts at random, so that two processes differ."""
         self.confirmed_at = float("-inf")
-        """When the question was sent whose answer was last taken."""
+        """When the request was sent whose response was last applied."""
         self._lapse_at_by_id: dict[UpstreamId, float] = {}
-        """Entries that may have lapsed in an outage; endless while the store is away."""
+        """When entries that may have lapsed in an outage are dropped; infinity until it ends."""
         self._unanswered_at: float | None = None
-        """When this host last got no answer of the store; None since it, or a host that told its
-        list, got one."""
+        """When the store last failed to answer this host; None once it has answered this host, or
+        another one that sent its list."""
         self._grace_until = float("-inf")
         self._written_since_outage: set[UpstreamId] = set()
-        """Upstreams that have written since the last outage: when they go, they leave."""
+        """Upstreams that wrote since the last outage: a missing entry means that they left."""
         self._outage_until = 0.0
         self._gone_ignored_until = float("-inf")
         self._leaving: dict[UpstreamInstance, None] = {}
-        """Starts that said in an answer that they leave, the latest last."""
+        """Instances that announced in a response that they are leaving, the latest last."""
         self._gone: dict[UpstreamInstance, None] = {}
-        """Starts whose entries were taken out, the latest last."""
+        """Instances whose entries were dropped, the latest last."""
 
     @property
     def age_s(self) -> float:
-        """Seconds since the list was last known to be the newest."""
+        """Seconds since the list was last confirmed to be the newest."""
         return clocks.now_s() - self.confirmed_at
 
     @property
     def is_up_to_date(self) -> bool:
-        """Whether every upstream that lives is listed: the list is young, the store was there."""
+        """Whether every upstream that is alive is listed: the list is recent and no outage of the
+        store is too recent."""
         return self.age_s < UP_TO_DATE_S and clocks.now_s() >= self._outage_until
 
     def record_outage(self) -> None:
-        """Remember that the store does not answer; entries may lapse meanwhile."""
+        """Record that the store does not answer; entries may lapse meanwhile."""
         self._unanswered_at = clocks.now_s()
         self._written_since_outage.clear()
         self._outage_until = self._unanswered_at + OUTAGE_MEMORY_S
 
     def _end_outage(self, at: float) -> None:
-        """Remember that the store answers again, since a moment."""
+        """Record that the store answers again, as of a time."""
         self._unanswered_at = None
         self._grace_until = at + LAPSE_GRACE_S
         for upstream, until in self._lapse_at_by_id.items():
             self._lapse_at_by_id[upstream] = min(until, self._grace_until)
 
     def record_restore(self) -> None:
-        """Remember that the store has come back from a copy some seconds old.
+        """Record that the store was restored from a copy some seconds old.
 
-        What upstreams wrote since is missing until they write it again; starts that have left
-        since are named there once more, and take nothing any more.
+        What upstreams wrote since the copy is missing until they write it again; instances that
+        left since are listed again, though they accept no more work.
         """
         self.record_outage()
         self._end_outage(clocks.now_s())
         self.ignore_gone_instances()
 
     def ignore_gone_instances(self) -> None:
-        """Remember that lists may be of the store's copy for a while, also those of other hosts."""
+        """Ignore entries of instances known to be gone for a while: lists, also those that other
+        hosts send, may come from the restored copy."""
         self._gone_ignored_until = clocks.now_s() + RESTORE_MEMORY_S
 
     def _is_known_gone(self, instance: UpstreamInstance) -> bool:
-        """Return whether a start that a copy names has left before."""
+        """Return whether an instance listed in the restored copy is known to be gone."""
         return clocks.now_s() < self._gone_ignored_until and instance in self._gone
 
     def replace(self, entries: Iterable[UpstreamEntry], asked_at: float) -> None:
-        """Take a whole list of the store."""
+        """Apply a complete list read from the store."""
         self._replace(
             [entry for entry in entries if not self._is_known_gone(entry.instance)], asked_at
         )
@@ -111,11 +114,12 @@
         asked_at: float,
         gone: Collection[UpstreamInstance] = (),
     ) -> None:
-        """Take a whole list of another host, which of it that host keeps for their grace, and what
-        it has taken out for good.
+        """Apply a complete list that another host sent.
 
-        What it keeps stays where it is known, for the same grace, and comes back nowhere: told as
-        if it lived, two hosts kept it for one another for good.
+        `lapsing` names the entries of it that the sender keeps for a grace period only, `gone` the
+        instances that it has dropped for good. A lapsing entry that is known here stays for the
+        same grace period, but it is never added: otherwise two hosts would keep it for each other
+        forever.
         """
         known = {entry.instance for entry in self.by_id.values()}
         kept = {each.instance for each in entries if each.id in lapsing}
@@ -136,7 +140,7 @@
 
     @property
     def lapsing(self) -> tuple[UpstreamId, ...]:
-        """The entries that are gone from the store and kept for their grace."""
+        """The entries that are missing in the store and kept for a grace period."""
         return tuple(self._lapse_at_by_id)
 
     def _replace(
@@ -154,26 +158,26 @@
         self.confirm(asked_at)
 
     def put_written(self, entry: UpstreamEntry) -> None:
-        """Take an entry that its upstream has just written."""
+        """Apply an entry that its upstream has just written."""
         if self._unanswered_at is None and clocks.now_s() < self._outage_until:
             self._written_since_outage.add(entry.id)
         self.put(entry)
 
     def put(self, entry: UpstreamEntry) -> None:
-        """Take one entry."""
+        """Apply one entry."""
         known = self.by_id.get(entry.id)
         if known is not None and known.is_later_than(entry):
-            logger.info("Entry of %s is of an earlier start than the known one.", entry.instance)
+            logger.info("Entry of %s ignored: a later instance is known.", entry.instance)
             return
         if entry.heartbeat is not None:
-            # A change of the entry is told to all hosts; a heartbeat is none.
+            # Each change of an entry is sent to all hosts; a heartbeat must not count as one.
             self.cold.take(entry.instance, entry.heartbeat)
             entry = msgspec.structs.replace(entry, heartbeat=None)
         self._lapse_at_by_id.pop(entry.id, None)
         self._gone.pop(entry.instance, None)
         is_same = known is not None and not entry.is_later_than(known)
         if (is_same and known.leaving) or entry.instance in self._leaving:
-            # A leave is never taken back within one start of an upstream.
+            # Leaving is final for an instance.
             entry = msgspec.structs.replace(entry, leaving=True)
         self.by_id[entry.id] = entry
         if known != entry:
@@ -189,7 +193,7 @@
             )
 
     def remove(self, upstream: UpstreamId) -> None:
-        """Take that an entry is gone: its upstream left, or the entry lapsed in an outage."""
+        """Record that an entry is missing: its upstream left, or it lapsed in an outage."""
         if upstream not in self.by_id:
             return
         is_away = self._unanswered_at is not None
@@ -197,25 +201,25 @@
         if upstream in self._written_since_outage or clocks.now_s() >= until:
             self.drop(upstream)
         elif upstream not in self._lapse_at_by_id:
-            logger.info("Entry of %s is gone after an outage of the store.", upstream)
+            logger.info("Entry of %s is missing after an outage of the store; kept.", upstream)
             self._lapse_at_by_id[upstream] = until
 
     def confirm(self, asked_at: float) -> None:
-        """Note that the list is as new as a question sent at `asked_at`; drop what lapsed."""
+        """Confirm the list as of a request sent at `asked_at`; drop lapsed entries."""
         self.confirmed_at = max(self.confirmed_at, asked_at)
         if self._unanswered_at is not None and asked_at > self._unanswered_at:
             self._end_outage(asked_at)
         self._drop_lapsed()
 
     def _drop_lapsed(self) -> None:
-        """Take out what lapsed in an outage and should have been back by now."""
+        """Drop entries that lapsed in an outage and were not written again in time."""
         now = clocks.now_s()
         for upstream, until in list(self._lapse_at_by_id.items()):
             if now >= until:
                 self.drop(upstream)
 
     def drop(self, upstream: UpstreamId) -> None:
-        """Take an entry out at once."""
+        """Drop an entry at once."""
         self._lapse_at_by_id.pop(upstream, None)
         self._written_since_outage.discard(upstream)
         entry = self.by_id.pop(upstream, None)
@@ -228,17 +232,17 @@
     def record_leaving(
         self, instance: UpstreamInstance, request: RequestId | None, reporter: str
     ) -> None:
-        """Take that a start said that it leaves, in the answer to a request of a host, `reporter`.
+        """Record that an instance announced that it is leaving, in a response to host `reporter`.
 
-        Its entry may say otherwise until the store takes its next write.
+        Its entry may say otherwise until the store accepts its next write.
         """
         if instance not in self._leaving:
             extra = {"request": request, "told_by": reporter}
-            logger.info("Upstream %s says that it leaves.", instance, extra=extra)
+            logger.info("Upstream %s announced that it is leaving.", instance, extra=extra)
             self.apply_leaving([instance])
 
     def apply_leaving(self, instances: Iterable[UpstreamInstance]) -> None:
-        """Take which starts said that they leave."""
+        """Apply the instances that announced that they are leaving."""
         for instance in instances:
             if instance in self._leaving:
                 continue
@@ -248,43 +252,43 @@
                 self.put(entry)
 
     def is_leaving(self, instance: UpstreamInstance) -> bool:
-        """Return whether a start said that it leaves, or its entry does."""
+        """Return whether an instance is leaving, by its announcement or by its entry."""
         entry = self.by_id.get(instance.id)
         return instance in self._leaving or (
             entry is not None and entry.instance == instance and entry.leaving
         )
 
     def leaving(self) -> tuple[UpstreamInstance, ...]:
-        """Return the starts that said lately that they leave, for other hosts."""
+        """Return the instances that announced last that they are leaving, to send to hosts."""
         return tuple(self._leaving)[-REPORTED_MAX:]
 
     def recently_gone(self) -> tuple[UpstreamInstance, ...]:
-        """Return the starts that were taken out last, for hosts that have just started."""
+        """Return the instances that were dropped last, to send to hosts that have just started."""
         return tuple(self._gone)[-REPORTED_MAX:]
 
     def record_gone(self, instances: Iterable[UpstreamInstance]) -> None:
-        """Take which starts have left, as another host knows."""
+        """Record instances that another host knows to be gone."""
         for instance in instances:
             _remember(self._gone, instance)
 
     def drop_gone(self) -> None:
-        """Take out starts that others know to have left: the store may name them from a copy."""
+        """Drop instances known to be gone: the store may list them from a restored copy."""
         for entry in list(self.by_id.values()):
             if entry.instance in self._gone:
                 self.drop(entry.id)
 
     def instances(self) -> list[UpstreamInstance]:
-        """Return all starts that are listed."""
+        """Return all instances that are listed."""
         return [entry.instance for entry in self.by_id.values()]
 
     def of_pool(self, pool: PoolId) -> list[UpstreamEntry]:
-        """Return the entries of a pool that take new work."""
+        """Return the entries of a pool that accept new work."""
         self._drop_lapsed()
         return [each for each in self.by_id.values() if each.pool == pool and not each.leaving]
 
 
 def _remember(instances: dict[UpstreamInstance, None], instance: UpstreamInstance) -> None:
-    """Put a start last, and forget the first one where there are too many."""
+    """Move an instance to the end, and forget the first one if there are too many."""
     instances.pop(instance, None)
     instances[instance] = None
     if len(instances) > REMEMBERED_MAX:
