--- a/libs/serving/ruddersaddle_serving/store_eras.py
+++ b/libs/serving/ruddersaddle_serving/store_eras.py
@@ -1,7 +1,7 @@
-"""Which life of the platform's store this host knows.
+"""The newest era of the platform's store that this host knows.
 
-The store may come back from a copy some seconds old. Each time its era rises by one; what this
-system appended since the copy is gone, and offsets are given out again.
+The era is the store's epoch: it rises by one each time the store is restored from a copy some
+seconds old. What this system appended since the copy is lost, and offsets are assigned again.
 """
 
 import logging
@@ -12,24 +12,24 @@
 logger = logging.getLogger(__name__)
 
 ERA_UNKNOWN = 0
-"""Era of a store that tells none."""
+"""Era of a store that reports none."""
 
 
 class StoreEras:
-    """The newest era that is known, from the store's answers and from other hosts."""
+    """The newest known era, from the store's responses and from other hosts."""
 
     def __init__(self) -> None:
         self.newest = ERA_UNKNOWN
         self.seen_at = float("-inf")
-        """When the newest era became known, on the steady clock; the return was before."""
+        """When the newest era became known, by the steady clock; the restore was before that."""
         self.restores = 0
-        """Returns of the store that this host has seen."""
+        """Number of restores of the store that this host has seen."""
         self.restore_listeners: list[Callable[[], None]] = []
-        """Called when a return becomes known."""
+        """Called when a restore becomes known."""
         self._is_known = False
 
     def learn(self, era: int) -> None:
-        """Take an era that the store or another host told."""
+        """Apply an era that the store or another host reported."""
         if self._is_known and era <= self.newest:
             return
         is_restore = self._is_known
@@ -39,7 +39,7 @@
         if is_restore:
             self.restores += 1
             logger.warning(
-                "Store has come back from an earlier copy: era %d after %d.", era, before
+                "Store was restored from an earlier copy: era is %d, was %d.", era, before
             )
             for listener in self.restore_listeners:
                 listener()
--- a/libs/serving/ruddersaddle_serving/store_followers.py
+++ b/libs/serving/ruddersaddle_serving/store_followers.py
@@ -1,4 +1,4 @@
-"""Follows topics of the platform's store, one task for each topic."""
+"""Followers of the topics of the platform's store, one task for each topic."""
 
 import logging
 import random
@@ -27,29 +27,30 @@
 logger = logging.getLogger(__name__)
 
 OPERATOR_WAIT_S = 1.0
-"""How long one question for news of operators waits at the store. An answer confirms the
-configuration, whose age has to stay well under the shortest bound on it (2 s)."""
+"""How long one read of the operators' topic waits at the store for new records. The response
+confirms the configuration, whose age must stay well below the shortest bound on it (2 s)."""
 UPSTREAM_PAUSE_S = 0.8
-"""Pause between reads of upstreams' entries. Each upstream writes every 1.2 s, so a waiting read
-would return at once; a leave has to be known within `drain_ms` (2 s)."""
+"""Pause between reads of upstreams' entries. Each upstream writes every 1.2 s, so that a waiting
+read would return at once; a leave must be known within `drain_ms` (2 s)."""
 FALLBACK_S = 3.0
-"""A host that is no reader asks the store by itself when what others told it is older than this. On
-an ordinary day that is 1.9 s at most: the reader's waiting question (1 s) and the host's own pause.
-A key needs a confirmation within 4.7 s."""
+"""Age of the view above which a host that is not a reader reads the store itself. In normal
+operation the age is 1.9 s at most: the reader's waiting read (1 s) and the host's own pause. A key
+needs a confirmation within 4.7 s."""
 CRASH_WAIT_S = 0.6
-"""How long one question for crash records waits at the store; a new record is answered at once.
-With a longer one hosts that hear of others ask the store as well, as what they hear is too old."""
+"""How long one read of crash records waits at the store; a new record is returned at once. With a
+longer wait, hosts that get the records from a reader find them too old and read the store too."""
 CRASH_FALLBACK_S = 2.4
-"""The same as `FALLBACK_S` for crash records, which bind 3 s after a crash also a host that is cut
-off from the others. Told by others they are 2.1 s old at most."""
+"""The same as `FALLBACK_S` for crash records, which must take effect within 3 s of a crash also on
+a host that is cut off from the others. Received from other hosts they are 2.1 s old at most."""
 READER_CHECK_S = 0.25
-"""Pause of a host that is no reader until it looks again whether it should ask the store."""
+"""Interval at which a host that is not a reader checks whether it must read the store."""
 RETRY_S = 0.3
-"""Pause after a failed read, with as much again drawn at random, so that hosts spread out."""
+"""Pause after a failed read, plus up to as much again at random, so that hosts don't retry at the
+same time."""
 
 
 class StoreLink:
-    """Whether the store answers this host, told in the log once for each change."""
+    """Whether the store answers this host; each change is logged once."""
 
     def __init__(self, name: str = "Store") -> None:
         self.name = name
@@ -57,21 +58,23 @@
         self.answered_at = float("-inf")
 
     def record(self, answer: object) -> None:
-        """Take the answer to any call."""
+        """Record the result of a call."""
         if isinstance(answer, Failure) and answer.code is not Code.GAP:
             if self.lost_since is None:
                 self.lost_since = clocks.now_s()
-                logger.warning("%s is lost. %s: %s", self.name, answer.step.value, answer.detail)
+                logger.warning(
+                    "%s is unavailable. %s: %s", self.name, answer.step.value, answer.detail
+                )
             return
         self.answered_at = clocks.now_s()
         if self.lost_since is not None:
-            away_s = clocks.now_s() - self.lost_since
-            logger.info("%s is regained after %.1f s.", self.name, away_s)
+            outage_s = clocks.now_s() - self.lost_since
+            logger.info("%s is available again after %.1f s.", self.name, outage_s)
             self.lost_since = None
 
 
 class TopicFollower:
-    """Reads one keyed topic whole, then what changes."""
+    """Reads one keyed topic completely, then its changes."""
 
     fallback_s = FALLBACK_S
 
@@ -84,7 +87,7 @@
         """Era of the last page; None before the first."""
 
     def run(self, wait_s: float, pause_s: float, is_reader: Callable[[], bool]) -> None:
-        """Follow the topic for good, while this host is a reader or knows nothing newer."""
+        """Follow the topic forever, while this host is a reader or its view is too old."""
         while True:
             if not is_reader() and self.age_s < self.fallback_s:
                 eventlet.sleep(READER_CHECK_S)
@@ -115,25 +118,27 @@
 
     def _record_failure(self, failure: Failure) -> None:
         if failure.code is Code.GAP:
-            logger.info("Topic %s is read whole. %s", self.topic.value, failure.detail)
+            logger.info(
+                "Topic %s is read again from the start. %s", self.topic.value, failure.detail
+            )
             self.position = None
         else:
             self.record_outage()
 
     def apply(self, page: Page, complete: bool, asked_at: float) -> bool:
-        """Take a page; return whether it is not older than what is known."""
+        """Apply a page; return whether it is not older than what is known."""
         raise NotImplementedError
 
     @property
     def age_s(self) -> float:
-        """Seconds since what this host knows of the topic was last confirmed."""
+        """Seconds since this host's view of the topic was last confirmed."""
         raise NotImplementedError
 
     def record_outage(self) -> None:
-        """Take that the store did not answer."""
+        """Record that the store did not answer."""
 
     def record_restore(self) -> None:
-        """Take that the next page is of a store that has come back from an earlier copy."""
+        """Record that the next page comes from a store restored from an earlier copy."""
 
 
 class OperatorFollower(TopicFollower):
@@ -144,14 +149,14 @@
         self.publications = publications
 
     def apply(self, page: Page, complete: bool, asked_at: float) -> bool:
-        """Take published items, then confirm the belief as of the question."""
+        """Apply published items, then confirm the view as of the request."""
         evacuations = []
         for record in page.records:
             item = self.store.decode_operator(record)
             match item:
                 case Failure():
                     logger.error(
-                        "Record %d of %s is unreadable. %s", record.offset, record.key, item
+                        "Record %d of %s could not be decoded. %s", record.offset, record.key, item
                     )
                 case Evacuation():
                     evacuations.append(item)
@@ -164,7 +169,7 @@
     def _apply_evacuations(
         self, evacuations: list[Evacuation], complete: bool, end: StorePosition
     ) -> None:
-        """Take evacuations; unlike what has versions, one that lags would go back."""
+        """Apply evacuations; they have no versions, so a page that lags would revert them."""
         publications = self.publications
         if end < publications.end:
             return
@@ -176,14 +181,14 @@
             publications.evacuations.take(each)
 
     def _record_stored_version(self, item: Published | ModelVersion) -> None:
-        """Tell once when the store has an older configuration than the one in force."""
+        """Log once if the store has an older configuration than the one in force."""
         if not isinstance(item, Published) or item.version == self.publications.stored_version:
             return
         self.publications.stored_version = item.version
         known = self.publications.version
         if item.version < known:
             logger.warning(
-                "Store has configuration %d, %d stays in force; operators have to write it again.",
+                "Store has configuration %d, %d stays in force; operators must publish it again.",
                 item.version,
                 known,
             )
@@ -201,13 +206,13 @@
         super().__init__(store, Topic.UPSTREAMS, link)
         self.upstreams = upstreams
         self.unusable = 0
-        """Entries that were read and name no upstream to use."""
+        """Number of entries read that describe no usable upstream."""
         self._is_first_page = True
-        """Whether the next page is the first since the store did not answer: it may hold writes of
-        before, whatever other hosts have told of the store's return."""
+        """Whether the next page is the first since an outage: it may hold writes from before the
+        outage, even if other hosts have reported that the store answers again."""
 
     def apply(self, page: Page, complete: bool, asked_at: float) -> bool:
-        """Take entries and their ends."""
+        """Apply entries and their removals."""
         if complete:
             decoded = [self._decode(record) for record in page.records if record.value]
             entries = [entry for entry in decoded if entry is not None]
@@ -221,7 +226,7 @@
             if entry is not None:
                 put(entry)
             elif record.value:
-                # A whole list leaves it out, too; its upstream writes it again with its heartbeat.
+                # A complete list omits it as well; its upstream rewrites it with each heartbeat.
                 self.upstreams.drop(UpstreamId(record.key))
             else:
                 self.upstreams.remove(UpstreamId(record.key))
@@ -232,7 +237,7 @@
         entry = self.store.decode_upstream(record)
         if isinstance(entry, Failure):
             self.unusable += 1
-            logger.error("Entry of %s names no upstream. %s", record.key, entry.detail)
+            logger.error("Entry of %s is not usable. %s", record.key, entry.detail)
             return None
         return entry
 
@@ -242,12 +247,12 @@
         return self.upstreams.age_s
 
     def record_outage(self) -> None:
-        """Entries may lapse while the store is away."""
+        """Record the outage: entries may lapse meanwhile."""
         self._is_first_page = True
         self.upstreams.record_outage()
 
     def record_restore(self) -> None:
-        """Entries written since the copy are missing; of those that are there some are over."""
+        """Record the restore: entries written since the copy are missing, others are outdated."""
         self._is_first_page = True
         self.upstreams.record_restore()
 
@@ -258,12 +263,12 @@
     fallback_s = CRASH_FALLBACK_S
 
     def __init__(self, store: MetadataStore, shares: CrashShares) -> None:
-        # What this topic does says nothing of the others, so that it has a link of its own.
+        # A failure of this topic says nothing about the others, so it has a link of its own.
         super().__init__(store, Topic.CRASHES, StoreLink("Topic of crash records"))
         self.shares = shares
 
     def apply(self, page: Page, complete: bool, asked_at: float) -> bool:
-        """Take records, then confirm them as of the question."""
+        """Apply records, then confirm them as of the request."""
         for record in page.records:
             self.shares.take_record(record)
         if complete:
@@ -277,5 +282,5 @@
         return self.shares.age_s
 
     def record_restore(self) -> None:
-        """What was written since the copy is gone."""
+        """Record the restore: records written since the copy are lost."""
         self.shares.note_return()
