--- a/libs/serving/ruddersaddle_serving/upstream_lists.py
+++ b/libs/serving/ruddersaddle_serving/upstream_lists.py
@@ -201,7 +201,7 @@
         if upstream in self._written_since_outage or clocks.now_s() >= until:
             self.drop(upstream)
         elif upstream not in self._lapse_at_by_id:
-            logger.info("Entry of %s is missing after an outage of the store; kept.", upstream)
+            logger.info("Entry of %s is gone after an outage of the store.", upstream)
             self._lapse_at_by_id[upstream] = until
 
     def confirm(self, asked_at: float) -> None:
