--- a/libs/serving/ruddersaddle_serving/hosts.py
+++ b/libs/serving/ruddersaddle_serving/hosts.py
@@ -1,8 +1,8 @@
-"""Which entry hosts there are, and which of them read for the others.
+"""The list of entry hosts, and which of them are readers for the others.
 
-What every host needs to know (published items, entries of upstreams, listings of context stores,
-loads of engines) is read by one host in each hall and told to the others of that hall, so that the
-calls to the platform and to upstreams grow with the halls and not with the hosts.
+What every host must know (published items, entries of upstreams, listings of context stores, loads
+of engines) is read by one host in each hall, the reader, and sent to the others of that hall. The
+number of calls to the platform and to upstreams thus grows with the halls, not with the hosts.
 """
 
 import logging
@@ -18,17 +18,17 @@
 logger = logging.getLogger(__name__)
 
 READERS_MIN = 2
-"""Readers there are at least; the second one serves while the first is replaced."""
+"""Minimum number of readers; the second one serves while the first is being replaced."""
 UNRESPONSIVE_S = 4.0
-"""A host that did not answer is left alone this long, and twice as long each time after that: the
-record of a host that is gone for good stays on the list."""
+"""How long a host that did not answer counts as unresponsive. The time doubles with each further
+failure, as the record of a host that is gone for good stays on the list."""
 UNRESPONSIVE_MAX_S = 64.0
 READERS_KEY = "readers"
-"""Key under which hosts are ranked as readers."""
+"""Key of the rendezvous hash that ranks hosts as readers."""
 
 
 class HostRecord(msgspec.Struct, frozen=True, array_like=True):
-    """How a host is reached, where it stands, and how wide its link is, in Mbit/s."""
+    """Peer address, hall and link bandwidth (Mbit/s) of a host."""
 
     address: str
     hall: HallId
@@ -38,8 +38,8 @@
 class Hosts:
     """The other hosts by id, and this one.
 
-    `seeds` are addresses from the settings; until their records are known they count as hosts of
-    this hall with the narrowest link.
+    `seeds` are addresses from the settings; until their records are known they are treated as hosts
+    of this hall with the narrowest link.
     """
 
     def __init__(self, own_id: HostId, own: HostRecord, seeds: list[str]) -> None:
@@ -47,9 +47,9 @@
         self.own = own
         self.by_id: dict[HostId, HostRecord] = {}
         self.known_at = float("inf")
-        """When the list was first read, here or by a host that told it; on the steady clock."""
+        """When this host first had a list, read or received; by the steady clock."""
         self.position = START
-        """Position that follows the newest record of the list; START where it is not known."""
+        """Position after the newest record of the list; START if it is not known."""
         self._seeds = [seed for seed in seeds if seed and seed != own.address]
         self._unresponsive_until: dict[str, float] = {}
         self._failures_by_address: dict[str, int] = {}
@@ -57,19 +57,20 @@
         self._digest: int | None = None
         self._ranked: list[HostRecord] = []
         self._ranked_until = float("-inf")
-        """Ranking costs some hundred microseconds and is asked for some hundred times a second, so
-        it is kept until a host comes, goes, falls silent or is heard of again."""
+        """Until when `_ranked` is valid. Ranking takes some hundred microseconds and is needed some
+        hundred times a second, so the result is cached until a host is added or removed, becomes
+        unresponsive or responds again."""
 
     @property
     def is_known(self) -> bool:
-        """Whether the list was read."""
+        """Whether this host has had a list."""
         return self.known_at != float("inf")
 
     def replace(self, records: dict[HostId, HostRecord], position: StorePosition = START) -> bool:
-        """Take the whole list as of a position; return whether it differs from what was known.
+        """Apply a complete list as of a position; return whether it differs from the known one.
 
-        One that is older than the known one changes nothing: hosts that had read it as others were
-        still starting knew three to seven of 71 for good, and read the store by themselves.
+        A list older than the known one is ignored. Otherwise hosts that read the list while others
+        were still starting kept knowing only a few of them, and read the store themselves.
         """
         if position < self.position:
             return False
@@ -88,7 +89,7 @@
         self._ranked_until = float("-inf")
 
     def add(self, host: HostId, record: HostRecord) -> None:
-        """Take the record of a host that made itself known."""
+        """Add the record of a host that has sent a request to this one."""
         if host != self.own_id and self.by_id.get(host) != record:
             self.by_id[host] = record
             self._invalidate_caches()
@@ -98,7 +99,7 @@
         return {**self.by_id, self.own_id: self.own}
 
     def record_unresponsive(self, address: str) -> None:
-        """Take that a host did not answer."""
+        """Record that a host did not answer."""
         now = clocks.now_s()
         if now < self._unresponsive_until.get(address, now):
             return
@@ -106,18 +107,18 @@
         self._failures_by_address[address] = failures + 1
         pause_s = min(UNRESPONSIVE_MAX_S, UNRESPONSIVE_S * 2**failures)
         self._unresponsive_until[address] = now + pause_s
-        logger.info("Host at %s does not answer; it is left alone for %.0f s.", address, pause_s)
+        logger.info("Host at %s does not answer; not asked again for %.0f s.", address, pause_s)
         self._ranked_until = float("-inf")
 
     def record_response(self, address: str) -> None:
-        """Take that a host lives."""
+        """Record a message from a host: it is alive."""
         if self._failures_by_address.pop(address, None) is not None:
             logger.info("Host at %s answers again.", address)
         if self._unresponsive_until.pop(address, None) is not None:
             self._ranked_until = float("-inf")
 
     def others(self) -> list[HostRecord]:
-        """Return all other hosts that are known, by address."""
+        """Return all other known hosts, sorted by address."""
         if self._others is not None:
             return self._others
         by_address = {seed: HostRecord(seed, self.own.hall) for seed in self._seeds}
@@ -136,7 +137,7 @@
         return [each.address for each in self.others() if each.hall == self.own.hall]
 
     def live(self) -> list[HostRecord]:
-        """Return the hosts that are not known to be silent, this one first."""
+        """Return the hosts that are not known to be unresponsive, this one first."""
         now = clocks.now_s()
         unresponsive = {
             address for address, until in self._unresponsive_until.items() if now < until
@@ -145,7 +146,7 @@
 
     @property
     def digest(self) -> int:
-        """A number that two hosts share if they know the same hosts."""
+        """Checksum of the list; equal on hosts that know the same hosts."""
         if self._digest is None:
             names = sorted(f"{host}={record}" for host, record in self.all_by_id().items())
             self._digest = crc32("\n".join(names).encode())
@@ -153,11 +154,11 @@
 
     @property
     def count(self) -> int:
-        """About how many hosts there are, this one included."""
+        """Approximate number of hosts, this one included."""
         return 1 + len(self.others())
 
     def reader_by_hall(self) -> dict[HallId, str]:
-        """Return the reader of each hall: hosts with wide links go first, since it answers all."""
+        """Return the reader of each hall, the widest link first, as it answers all other hosts."""
         first_by_hall: dict[HallId, str] = {}
         for each in self._by_link_width():
             first_by_hall.setdefault(each.hall, each.address)
@@ -175,7 +176,7 @@
         return self._ranked
 
     def readers(self) -> list[str]:
-        """Return the hosts that read for others, the one of this hall first."""
+        """Return the addresses of all readers, that of this hall first."""
         by_hall = self.reader_by_hall()
         halls = sorted(by_hall, key=lambda hall: (hall != self.own.hall, hall))
         readers = [by_hall[hall] for hall in halls]
@@ -186,13 +187,13 @@
         return readers
 
     def reader_rank(self) -> int:
-        """Return this host's place among the readers, in an order that all hosts agree on."""
+        """Return this host's rank among the readers, in an order that all hosts agree on."""
         return sum(each < self.own.address for each in self.readers())
 
     def hall_reader(self) -> str:
-        """Return the reader of this hall."""
+        """Return the address of the reader of this hall."""
         return self.reader_by_hall()[self.own.hall]
 
     def is_reader(self) -> bool:
-        """Return whether this host reads for others."""
+        """Return whether this host is a reader."""
         return self.own.address in self.readers()
--- a/libs/serving/ruddersaddle_serving/tests/test_hosts.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_hosts.py
@@ -1,4 +1,4 @@
-"""Tests of the list of hosts and of who reads for the others."""
+"""Tests of the list of hosts and of the choice of readers."""
 
 import unittest
 
@@ -28,14 +28,14 @@
         halls = {records[int(each.split(":")[0][-1])].hall for each in next(iter(readers))}
         self.assertEqual(halls, {NORTH, SOUTH})
 
-    def test_own_hall_is_asked_first(self) -> None:
+    def test_reader_of_a_hall_is_one_of_its_hosts(self) -> None:
         records = {n: record(n, NORTH if n < 4 else SOUTH) for n in range(1, 8)}
         self.assertIn(make_hosts(1, records).hall_reader(), {records[n].address for n in (1, 2, 3)})
         self.assertIn(
             make_hosts(7, records).hall_reader(), {records[n].address for n in range(4, 8)}
         )
 
-    def test_widest_link_reads(self) -> None:
+    def test_host_with_the_widest_link_is_the_reader(self) -> None:
         records = {n: record(n, NORTH, 100.0 if n == 5 else 10.0) for n in range(1, 8)}
         self.assertEqual(make_hosts(1, records).hall_reader(), records[5].address)
 
@@ -44,7 +44,7 @@
         self.assertEqual(len(make_hosts(1, records).readers()), 2)
         self.assertEqual(make_hosts(1, {1: records[1]}).readers(), [records[1].address])
 
-    def test_next_one_reads_while_the_reader_is_silent(self) -> None:
+    def test_unresponsive_reader_is_replaced_for_a_while(self) -> None:
         records = {n: record(n, NORTH) for n in range(1, 5)}
         hosts = make_hosts(1, records)
         first = next(each for each in hosts.readers() if each != records[1].address)
@@ -53,7 +53,7 @@
         self.now += 4.1
         self.assertIn(first, hosts.readers())
 
-    def test_host_that_stays_away_is_asked_more_and_more_rarely(self) -> None:
+    def test_unresponsive_time_of_a_host_doubles_up_to_a_limit(self) -> None:
         records = {n: record(n, NORTH) for n in range(1, 5)}
         hosts = make_hosts(1, records)
         gone = records[2].address
@@ -71,7 +71,7 @@
         self.now += 4.0
         self.assertIn(gone, [each.address for each in hosts.live()])
 
-    def test_digest_tells_lists_apart(self) -> None:
+    def test_digest_differs_between_lists(self) -> None:
         records = {n: record(n, NORTH) for n in range(1, 4)}
         same = {make_hosts(n, records).digest for n in records}
         self.assertEqual(len(same), 1)
