--- a/libs/serving/ruddersaddle_serving/host_lists.py
+++ b/libs/serving/ruddersaddle_serving/host_lists.py
@@ -1,4 +1,4 @@
-"""Keeps the list of hosts: registers this host, reads the list where it is to, and restores it."""
+"""Maintains the list of hosts: registers this host, reads the list as a reader, and repairs it."""
 
 import logging
 import random
@@ -18,18 +18,18 @@
 logger = logging.getLogger(__name__)
 
 POLL_S = 1.0
-"""Pause of a host that does not read the list, or failed to, with as much again drawn at random."""
+"""Pause of a host that does not read the list, or failed to, plus up to as much again at random."""
 READ_PAUSE_S = 12.0
-"""Pause of a reader between reads of the list of hosts; a new host makes itself known by asking as
-well."""
+"""Pause of a reader between reads of the list; a new host also becomes known by its requests."""
 STARTUP_S = 15.0
-"""A host that is alone on the list looks again soon for this long after its start."""
+"""How long after its start a host that finds no other on the list reads it again soon."""
 RESTORE_STAGGER_S = 1.0
-"""Pause between readers that write hosts again after the store's return; one call does it."""
+"""Delay from one reader to the next before they rewrite lost hosts after a restore of the store;
+one call is enough."""
 
 
 class HostList:
-    """The list of hosts as the store has it; `hosts` is what this host knows of it."""
+    """The list of hosts in the store; `hosts` is this host's view of it."""
 
     def __init__(self, hosts: Hosts, store: MetadataStore) -> None:
         self.hosts = hosts
@@ -37,7 +37,7 @@
         self.is_outdated = False
         """Whether another host knows a newer list."""
         self.listeners: list[Callable[[], None]] = []
-        """Called at once with each list that was taken."""
+        """Called synchronously after each list that was applied."""
         self._era: int | None = None
         """Era of the store that the list was last read in."""
 
@@ -54,24 +54,24 @@
                 failure = self.store.put(Topic.HOSTS, self.hosts.own_id, record)
                 registered = failure is None
             if self.hosts.by_id and not self.hosts.is_reader():
-                # A reader tells the list with its news.
+                # A reader sends the list in its state updates.
                 eventlet.sleep(POLL_S * (1 + random.random()))
                 continue
             page = self.store.newest(Topic.HOSTS)
             if isinstance(page, Failure):
-                logger.info("List of hosts can't be read. %s", page.detail)
+                logger.info("List of hosts could not be read. %s", page.detail)
                 eventlet.sleep(POLL_S * (1 + random.random()))
                 continue
             self.apply_page(page)
-            # At a common start the first to read the list find nobody on it yet.
+            # When all hosts start together, the first to read the list find no other on it yet.
             is_settled = self.hosts.by_id or clocks.now_s() > settled_at
             pause_s = READ_PAUSE_S if is_settled else POLL_S
             self._pause(pause_s * (0.75 + 0.5 * random.random()))
 
     def _pause(self, seconds: float) -> None:
-        """Wait until the list is to be read again.
+        """Wait until the list must be read again.
 
-        That is soon where another host knows a newer one, and in a new era of the store.
+        The wait ends early if another host knows a newer list, or if a new era of the store begins.
         """
         until = clocks.now_s() + seconds
         while clocks.now_s() < until and not self.is_outdated:
@@ -80,7 +80,7 @@
             eventlet.sleep(min(POLL_S, max(0.0, until - clocks.now_s())))
 
     def apply_page(self, page: Page) -> None:
-        """Take the list that the store has; write again what it has lost with its return."""
+        """Apply the list read from the store; rewrite the hosts that a restore has lost."""
         listed = _decode_hosts(page.records)
         is_return = self._era not in (None, page.end.era)
         self._era = page.end.era
@@ -93,7 +93,7 @@
         self.apply(listed, page.end)
 
     def _restore(self, missing: dict[HostId, HostRecord], delay_s: float) -> None:
-        """Write hosts that the store lacks; a reader looks first whether one before it has."""
+        """Write hosts that the store lacks, unless another reader has done so during the delay."""
         eventlet.sleep(delay_s)
         while missing:
             page = self.store.newest(Topic.HOSTS)
@@ -102,37 +102,37 @@
                 missing = {host: each for host, each in missing.items() if host not in listed}
                 values = {host: msgspec.json.encode(each) for host, each in missing.items()}
                 if not missing or self.store.put_all(Topic.HOSTS, values) is None:
-                    logger.info("Hosts written again: %s.", ", ".join(sorted(missing)) or "none")
+                    logger.info("Hosts rewritten: %s.", ", ".join(sorted(missing)) or "none")
                     return
             eventlet.sleep(POLL_S * (1 + random.random()))
 
     def apply(self, records: dict[HostId, HostRecord], position: StorePosition = START) -> None:
-        """Take a list as of a position, from the store or from another host."""
+        """Apply a list as of a position, from the store or from another host."""
         if self.hosts.replace(records, position):
             logger.info("Hosts: %s.", ", ".join(sorted(self.hosts.by_id)))
         for listener in self.listeners:
             listener()
 
     def record_peer_position(self, position: StorePosition) -> None:
-        """Take which list a host that asks this one knows; a newer one is read soon."""
+        """Record the position of a requesting host's list; a newer list is read soon."""
         self.is_outdated = self.is_outdated or position > self.hosts.position
 
     def leave(self) -> None:
-        """Take this host off the list, at its planned stop."""
+        """Remove this host from the list at its planned stop."""
         failure = self.store.put(Topic.HOSTS, self.hosts.own_id, None)
         if failure is not None:
-            logger.info("Host was not taken off the list. %s", failure.detail)
+            logger.info("Host could not be removed from the list. %s", failure.detail)
 
 
 def _decode_hosts(records: tuple[Record, ...]) -> dict[HostId, HostRecord]:
-    """Return the hosts of the list; a record that can't be read is left out with a line."""
+    """Return the hosts of the list; a record that can't be decoded is logged and skipped."""
     found = {}
     for record in records:
         if not record.value:
             continue
         host = decode_json(record.value, HostRecord, Step.READ, record.key)
         if isinstance(host, Failure):
-            logger.error("Record of host %s is unreadable. %s", record.key, host.detail)
+            logger.error("Record of host %s could not be decoded. %s", record.key, host.detail)
             continue
         found[HostId(record.key)] = host
     return found
--- a/libs/serving/ruddersaddle_serving/hosts.py
+++ b/libs/serving/ruddersaddle_serving/hosts.py
@@ -70,7 +70,7 @@
         """Apply a complete list as of a position; return whether it differs from the known one.
 
         A list older than the known one is ignored. Otherwise hosts that read the list while others
-        were still starting kept knowing only a few of them, and read the store themselves.
+        were still starting knew only three to seven of 71 for good, and read the store themselves.
         """
         if position < self.position:
             return False
--- a/libs/serving/ruddersaddle_serving/tests/test_host_lists.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_host_lists.py
@@ -1,4 +1,4 @@
-"""Tests of how hosts come to know one list of hosts, also where they start at the same moment."""
+"""Tests that all hosts converge on one list of hosts, also if they start at the same time."""
 
 import unittest
 from unittest import mock
@@ -26,7 +26,7 @@
 
 
 def page_of(numbers: range) -> Page:
-    """Return the list in which hosts have registered so far."""
+    """Return a page of the list with these hosts registered."""
     records = tuple(
         Record(f"host-{number}", msgspec.json.encode(record_of(number)), number)
         for number in numbers
@@ -35,12 +35,12 @@
 
 
 class FakePeers:
-    """Carries questions between hosts; those that are cut off answer nothing."""
+    """Delivers requests to other hosts by direct calls."""
 
     def __init__(self, by_address: dict[str, Neighbours]) -> None:
         self.by_address = by_address
 
-    def ask(self, address: str, question: NeighbourMessage, seconds: float) -> NeighbourMessage:
+    def ask(self, address: str, question: NeighbourMessage, timeout_s: float) -> NeighbourMessage:
         return self.by_address[address]._handle(question)
 
     def keep_only(self, addresses: set[str]) -> None:
@@ -49,7 +49,7 @@
 
 class HostListsTest(FixedClockTest):
     def make(self, number: int, registered: int) -> Neighbours:
-        """Return a host that read the list when so many hosts had registered."""
+        """Return a host that read the list when `registered` hosts were on it."""
         store = mock.Mock(eras=StoreEras())
         neighbours = Neighbours(
             Hosts(HostId(f"host-{number}"), record_of(number), []),
@@ -73,7 +73,7 @@
         return neighbours.hosts.count
 
     def test_host_that_read_early_learns_the_list_from_any_other(self) -> None:
-        """Seen with 71 hosts: twelve knew three to seven of them until the end of the day."""
+        """Of 71 hosts, twelve knew only three to seven of the others until they were stopped."""
         late = [self.make(number, 12) for number in range(12)]
         early = self.make(3, 5)
         asked = next(each for each in late if not each.hosts.is_reader())
@@ -88,7 +88,7 @@
             host._request_state(address)
         self.assertEqual(self.count(host), 12)
 
-    def test_reader_that_is_asked_by_one_who_knows_more_reads_again_soon(self) -> None:
+    def test_reader_that_gets_a_request_of_a_host_with_a_newer_list_reads_again_soon(self) -> None:
         reader = self.make(0, 5)
         self.assertFalse(reader.host_list.is_outdated)
         self.make(11, 12)._request_state(reader.address)
@@ -97,8 +97,8 @@
         self.assertFalse(reader.host_list.is_outdated)
         self.assertEqual(self.count(reader), 12)
 
-    def test_all_come_to_know_all_by_asking_their_readers(self) -> None:
-        """Each has read the list when another number of hosts had registered."""
+    def test_all_hosts_learn_the_complete_list_from_their_readers(self) -> None:
+        """Each has read the list when a different number of hosts was on it."""
         fleet = [self.make(number, min(30, 3 + number)) for number in range(30)]
         self.make(29, 30)
         for _ in range(12):
