--- a/libs/serving/ruddersaddle_serving/neighbour_messages.py
+++ b/libs/serving/ruddersaddle_serving/neighbour_messages.py
@@ -1,4 +1,4 @@
-"""Messages between hosts: what they believe, and what changes about engines."""
+"""Messages between hosts: their state, and changes of engines."""
 
 import msgspec
 from ruddersaddle_base.ids import HallId, HostId, ModelId, UpstreamId
@@ -18,77 +18,77 @@
 
 
 class StateRequest(msgspec.Struct, frozen=True, tag="ask_news"):
-    """Asks for what the peer believes and the asker may not have yet."""
+    """Requests the parts of the peer's state that the sender may not have yet."""
 
     host: HostId
     record: HostRecord
     version: int
     entries_revision: int
-    """Revision of the peer's own entries that the asker has; -1 for none."""
+    """Revision of the peer's entries that the sender has; -1 for none."""
     hosts_digest: int
-    """Digest of the list of hosts that the asker knows."""
+    """Digest of the sender's list of hosts."""
     crashes_revision: int = -1
-    """Revision of the peer's own crash records that the asker has."""
+    """Revision of the peer's crash records that the sender has."""
     era: int = ERA_UNKNOWN
-    """Newest era of the store that the asker knows."""
+    """Newest era of the store that the sender knows."""
     hosts_position: StorePosition = START
-    """Position of the list of hosts that the asker knows."""
+    """Position of the sender's list of hosts."""
 
 
 class StateUpdate(msgspec.Struct, frozen=True, tag="news"):
-    """What a peer believes, with the age of each belief when it answered, in seconds."""
+    """The state of a host, with the age of each part when it was sent, in seconds."""
 
     age_s: float
     end: int
     named: tuple[ModelVersion, ...]
     published: Published | None
     entries: tuple[UpstreamEntry, ...] | None
-    """None if the asker has them."""
+    """None if the requesting host has them."""
     entries_revision: int
     entries_age_s: float
     hosts: dict[HostId, HostRecord] | None
-    """None where the asker knows the same hosts, or a newer list."""
+    """None if the requesting host knows the same hosts, or a newer list."""
     namings: tuple[NamingAge, ...] = ()
     """How long ago weights were named."""
     crashes: tuple[CrashRecord, ...] | None = None
-    """Requests under which two or more upstreams ended; None if the asker has them."""
+    """Requests during which two or more upstreams crashed; None if the requesting host has them."""
     cleared: tuple[Fingerprint, ...] = ()
-    """Requests of which a run ended whole a short while ago; told with `crashes`."""
+    """Requests of which a run was completed a short while ago; sent with `crashes`."""
     crashes_revision: int = -1
     crashes_age_s: float = float("inf")
     era: int = ERA_UNKNOWN
     """Era of the store that `end` belongs to."""
     known_era: int = ERA_UNKNOWN
-    """Newest era of the store that the teller knows."""
+    """Newest era of the store that the sender knows."""
     gone: tuple[UpstreamInstance, ...] = ()
-    """Starts of upstreams that have left; told with `entries`."""
+    """Instances of upstreams that have left; sent with `entries`."""
     lapsing: tuple[UpstreamId, ...] = ()
-    """Upstreams among `entries` that are gone from the store and kept for their grace."""
+    """Upstreams among `entries` that are missing in the store and kept for a grace period."""
     evacuated: tuple[HallId, ...] | None = None
-    """The evacuated halls as of `end`; None from a host that knows of none such."""
+    """The evacuated halls as of `end`; None from a host that doesn't support evacuations."""
     hosts_position: StorePosition = START
-    """Position of the list that `hosts` is."""
+    """Position of the list in `hosts`."""
     cold: tuple[ColdStart, ...] = ()
-    """Starts of upstreams that are cold."""
+    """Instances of upstreams that are cold."""
     leaving: tuple[UpstreamInstance, ...] = ()
-    """Starts that said in an answer that they leave, whatever their entries say."""
+    """Instances that announced in a response that they are leaving, whatever their entries say."""
 
 
 class Changed(msgspec.Struct, frozen=True, tag="changed"):
-    """Tells that the sender knows something new, so that it is worth asking; it is not answered."""
+    """Notifies that the sender's state has changed and may be requested; it is not answered."""
 
     address: str
 
 
 class Loading(msgspec.Struct, frozen=True, tag="loading"):
-    """Tells that an engine gets no new work for some seconds, because it is to load weights."""
+    """Notifies that an engine gets no new work for some seconds, as it is about to load weights."""
 
     upstream: UpstreamId
     seconds: float
 
 
 class Loaded(msgspec.Struct, frozen=True, tag="loaded"):
-    """Tells that an engine has new weights and takes work again."""
+    """Notifies that an engine has new weights and accepts work again."""
 
     upstream: UpstreamId
     model: ModelId
@@ -96,11 +96,11 @@
 
 
 class Ping(msgspec.Struct, frozen=True, tag="hello"):
-    """Asks for any answer, so that a connection that is silent for good is found."""
+    """Liveness probe: any answer will do. It finds connections that are dead without a reset."""
 
 
 class Ack(msgspec.Struct, frozen=True, tag="noted"):
-    """Answers a message that asks nothing."""
+    """Acknowledges a message that requests nothing."""
 
 
 NeighbourMessage = (
--- a/libs/serving/ruddersaddle_serving/neighbours.py
+++ b/libs/serving/ruddersaddle_serving/neighbours.py
@@ -1,4 +1,4 @@
-"""What hosts tell one another: published items and entries with their age, orders under way."""
+"""Exchange of state between hosts: published items and entries with their age, engine loads."""
 
 import logging
 import random
@@ -42,30 +42,30 @@
 logger = logging.getLogger(__name__)
 
 ASK_TIMEOUT_S = 0.4
-"""Longest wait for a peer's answer; one way between halls takes about a millisecond."""
+"""Time-out of a request to a peer; one way between halls takes about a millisecond."""
 STALE_S = 2.3
-"""Beliefs older than this are asked of readers also by a reader: its own reads confirm them as of
-1 to 2 s ago, unless the store does not answer it. What is new does not wait for this: readers tell
+"""Age of the view above which a reader also asks other readers: its own reads confirm the view as
+of 1 to 2 s ago, unless the store does not answer it. Changes do not wait for this: readers notify
 one another at once (`Changed`)."""
 ASK_PAUSE_S = 0.6
-"""Pause between a host's questions to a reader. With the reader's own reads (a second) the answer
-confirms beliefs well within the shortest bound on them (2 s)."""
+"""Pause between a host's requests to a reader. With the reader's own reads (a second) the response
+confirms the view well within the shortest bound on its age (2 s)."""
 AGE_CHECK_S = 0.2
-"""Pause between looks at the age of beliefs; well below `ASK_PAUSE_S`."""
+"""Interval between checks of the age of the view; well below `ASK_PAUSE_S`."""
 CHECK_PAUSE_S = 1.0
-"""Pause between looks at the connections to peers, one at a look: each of nine hosts finds a silent
-one within 8 s. Asking all of them each second would be 72 messages a second on every host."""
+"""Interval between probes of connections to peers, one connection at a time: each of nine hosts
+finds a dead one within 8 s. Probing all of them each second would be 72 messages a second."""
 START_WAIT_S = 0.6
-"""Longest wait of a starting host for others: the list of hosts comes in milliseconds, and what is
-on it is asked at the same time. Beside other work a longer one had callers refused for a second."""
+"""Longest wait of a starting host for other hosts: the list of hosts arrives in milliseconds, and
+the hosts on it are asked concurrently. With a longer wait, callers were refused for a second."""
 START_POLL_S = 0.02
-START_ASKS = 3
-"""Hosts that a starting host asks beside the readers: after a compaction the store's answers may
-lag, and a peer may know a newer configuration."""
+START_PEERS = 3
+"""Number of hosts that a starting host asks: after a compaction the store's responses may lag, and
+a peer may know a newer configuration."""
 
 
 class Neighbours:
-    """The other hosts."""
+    """The other hosts: keeps this host's view in step with theirs, and answers their requests."""
 
     def __init__(
         self,
@@ -92,12 +92,12 @@
         self._revision_by_address: dict[str, int] = {}
         self._crashes_revision_by_address: dict[str, int] = {}
         self._asked_at = float("-inf")
-        self._seen = (0, 0)
+        self._last_broadcast = (0, 0)
         self.load_message_at = 0.0
-        """When the last word of an engine being loaded came."""
+        """When the last message about an engine's load of weights was handled."""
 
     def start(self) -> None:
-        """Listen, make this host known, and keep beliefs young."""
+        """Listen, register this host, and start the tasks that keep its view up to date."""
         self.publications.settling_until = clocks.now_s() + START_WAIT_S
         self.peers.start()
         self.host_list.start()
@@ -108,31 +108,32 @@
 
     @property
     def live_hosts(self) -> list[str]:
-        """Addresses of the hosts that are not known to be silent, this one among them."""
+        """Addresses of the hosts that are not known to be unresponsive, this one included."""
         return [record.address for record in self.hosts.live()]
 
-    # Beliefs
+    # State of the hosts
 
-    def _request_state_at_start(self) -> None:
-        """Ask some hosts what they know before what the store says counts as the newest.
+    def _sync_at_start(self) -> None:
+        """Ask some hosts for their state before the store's state counts as the newest.
 
-        It may have come back from a copy, with a key that was taken away or an upstream that left.
+        The store may have been restored from a copy that still has a revoked key or an upstream
+        that left.
         """
         until = self.publications.settling_until
         while not self.hosts.is_known and clocks.now_s() < until:
             eventlet.sleep(START_POLL_S)
         others = self.hosts.addresses()
-        asked = random.sample(others, min(START_ASKS, len(others)))
+        asked = random.sample(others, min(START_PEERS, len(others)))
         answers: LightQueue[bool] = LightQueue()
         for address in asked:
             eventlet.spawn(self._request_state_into, address, answers)
-        # The first answer is enough: hosts know of a change within a second of one another.
+        # The first response is enough: all hosts know of a change within a second.
         any(answers.get() for _ in asked)
         self.upstreams.drop_gone()
         self.publications.settling_until = float("-inf")
 
     def _request_state_into(self, address: str, answers: LightQueue[bool]) -> None:
-        """Ask one peer, and put whether it answered, also where asking fails by a fault."""
+        """Ask one peer, and put whether it answered into a queue, also if an error is raised."""
         answered = False
         try:
             answered = self._request_state(address)
@@ -140,30 +141,30 @@
             answers.put(answered)
 
     def _refresh(self) -> None:
-        self._request_state_at_start()
+        self._sync_at_start()
         while True:
             eventlet.sleep(AGE_CHECK_S)
             self._broadcast_changes()
             age_s = max(self.publications.age_s, self.upstreams.age_s)
             since_s = clocks.now_s() - self._asked_at
             if since_s > ASK_PAUSE_S and (age_s > STALE_S or not self.hosts.is_reader()):
-                self._request_state_of_reader()
+                self._request_state_from_reader()
 
     def _broadcast_changes(self) -> None:
-        """Let this hall, and the other readers, ask at once for what this reader has learnt.
+        """Notify this hall and the other readers of a change that this reader has learnt of.
 
-        A reader that the store turns away hears of a change from another one, within milliseconds.
+        A reader that the store rejects thus receives a change from another within milliseconds.
         """
-        seen = (self.publications.end, self.upstreams.revision)
-        if seen == self._seen:
+        current = (self.publications.end, self.upstreams.revision)
+        if current == self._last_broadcast:
             return
-        self._seen = seen
+        self._last_broadcast = current
         if self.hosts.is_reader():
-            told = {*self.hosts.hall_addresses(), *self.hosts.readers()} - {self.address}
-            self.peers.broadcast(sorted(told), Changed(self.address))
+            targets = {*self.hosts.hall_addresses(), *self.hosts.readers()} - {self.address}
+            self.peers.broadcast(sorted(targets), Changed(self.address))
 
-    def _request_state_of_reader(self) -> None:
-        """Ask the readers in turn until one has something young to tell."""
+    def _request_state_from_reader(self) -> None:
+        """Ask the readers in turn until one answers with a recent state."""
         self._asked_at = clocks.now_s()
         others = [each for each in self.hosts.readers() if each != self.address]
         known = self.hosts.addresses()
@@ -174,15 +175,15 @@
                 return
 
     def _check_connections(self) -> None:
-        """Greet the peers in turn; a silent connection is closed by the greeting's time-out."""
-        turn = 0
+        """Probe the peers in turn; the probe's time-out closes a dead connection."""
+        index = 0
         while True:
             eventlet.sleep(CHECK_PAUSE_S)
             connected = self.peers.connected()
             if not connected:
                 continue
-            turn += 1
-            address = connected[turn % len(connected)]
+            index += 1
+            address = connected[index % len(connected)]
             if isinstance(self.peers.ask(address, Ping(), ASK_TIMEOUT_S), Failure):
                 self.hosts.record_unresponsive(address)
             else:
@@ -193,7 +194,7 @@
         asked_at = clocks.now_s()
         revision = self._revision_by_address.get(address, -1)
         hosts = self.hosts
-        question = StateRequest(
+        request = StateRequest(
             hosts.own_id,
             hosts.own,
             self.publications.version,
@@ -203,7 +204,7 @@
             self.store.eras.newest,
             hosts.position,
         )
-        answer = self.peers.ask(address, question, ASK_TIMEOUT_S)
+        answer = self.peers.ask(address, request, ASK_TIMEOUT_S)
         if not isinstance(answer, StateUpdate):
             hosts.record_unresponsive(address)
             return False
@@ -213,33 +214,33 @@
         self._crashes_revision_by_address[address] = answer.crashes_revision
         return True
 
-    def _apply_state(self, news: StateUpdate, asked_at: float) -> None:
-        """Take a peer's beliefs, dated from when the question left."""
-        self._learn_era(news.known_era)
+    def _apply_state(self, update: StateUpdate, asked_at: float) -> None:
+        """Apply a peer's state, with ages relative to the time of the request."""
+        self._learn_era(update.known_era)
         if clocks.now_s() < self.publications.settling_until:
-            self.upstreams.record_gone(news.gone)
-        for named in news.named:
+            self.upstreams.record_gone(update.gone)
+        for named in update.named:
             self.publications.apply(named)
-        self.publications.apply_naming_ages(news.namings, asked_at)
-        if news.published is not None:
-            self.publications.apply(news.published)
-        end = StorePosition(news.era, news.end)
+        self.publications.apply_naming_ages(update.namings, asked_at)
+        if update.published is not None:
+            self.publications.apply(update.published)
+        end = StorePosition(update.era, update.end)
         if end >= self.publications.end:
-            self._apply_evacuations(news.evacuated, end)
-            self.publications.confirm(asked_at - news.age_s, end)
-        if news.hosts is not None:
-            self.host_list.apply(news.hosts, news.hosts_position)
-        self._apply_crashes(news, asked_at)
-        # What is cold is taken before the entries, so that none of them is ever thought warm.
-        self.upstreams.cold.take_all(news.cold)
-        self.upstreams.apply_leaving(news.leaving)
-        entries_at = asked_at - news.entries_age_s
+            self._apply_evacuations(update.evacuated, end)
+            self.publications.confirm(asked_at - update.age_s, end)
+        if update.hosts is not None:
+            self.host_list.apply(update.hosts, update.hosts_position)
+        self._apply_crashes(update, asked_at)
+        # Cold instances are applied before the entries, so that none of these counts as warm.
+        self.upstreams.cold.take_all(update.cold)
+        self.upstreams.apply_leaving(update.leaving)
+        entries_at = asked_at - update.entries_age_s
         if entries_at <= self.upstreams.confirmed_at:
             return
-        if news.entries is None:
+        if update.entries is None:
             self.upstreams.confirm(entries_at)
         else:
-            self.upstreams.replace_reported(news.entries, news.lapsing, entries_at, news.gone)
+            self.upstreams.replace_reported(update.entries, update.lapsing, entries_at, update.gone)
 
     def _apply_evacuations(self, halls: tuple[HallId, ...] | None, end: StorePosition) -> None:
         if halls is not None:
@@ -250,15 +251,15 @@
         if era != ERA_UNKNOWN:
             self.store.eras.learn(era)
 
-    def _apply_crashes(self, news: StateUpdate, asked_at: float) -> None:
-        self.crashes.take_cleared(news.cleared)
-        self.crashes.take_records(news.crashes or ())
-        self.crashes.confirm(asked_at - news.crashes_age_s)
+    def _apply_crashes(self, update: StateUpdate, asked_at: float) -> None:
+        self.crashes.take_cleared(update.cleared)
+        self.crashes.take_records(update.crashes or ())
+        self.crashes.confirm(asked_at - update.crashes_age_s)
 
     def _handle(self, message: NeighbourMessage) -> NeighbourMessage:
         match message:
             case StateRequest():
-                return self._reply_state(message)
+                return self._handle_request(message)
             case Loading():
                 self.handle_loading(message)
             case Loaded():
@@ -277,20 +278,20 @@
                 self._handle_store_lost(message)
         return Ack()
 
-    def _reply_state(self, question: StateRequest) -> StateUpdate:
-        self._learn_era(question.era)
-        self.hosts.record_response(question.record.address)
-        self.hosts.add(question.host, question.record)
+    def _handle_request(self, request: StateRequest) -> StateUpdate:
+        self._learn_era(request.era)
+        self.hosts.record_response(request.record.address)
+        self.hosts.add(request.host, request.record)
         hosts = self.hosts
-        self.host_list.record_peer_position(question.hosts_position)
+        self.host_list.record_peer_position(request.hosts_position)
         publications = self.publications
         upstreams = self.upstreams
         table = publications.table
-        is_newer = table is not None and publications.version > question.version
-        has_entries = question.entries_revision == upstreams.revision or not upstreams.complete
+        is_newer = table is not None and publications.version > request.version
+        has_entries = request.entries_revision == upstreams.revision or not upstreams.complete
         versions = publications.version_by_model
         records = self.crashes.records
-        knows_crashes = question.crashes_revision == records.revision
+        knows_crashes = request.crashes_revision == records.revision
         return StateUpdate(
             age_s=publications.age_s,
             end=publications.end.offset,
@@ -304,7 +305,7 @@
             entries_revision=upstreams.revision if upstreams.complete else -1,
             entries_age_s=upstreams.age_s,
             hosts={**hosts.by_id, hosts.own_id: hosts.own}
-            if self._has_list_for(question)
+            if self._has_newer_list_for(request)
             else None,
             hosts_position=hosts.position,
             namings=publications.naming_ages(),
@@ -317,15 +318,15 @@
             leaving=upstreams.leaving(),
         )
 
-    def _has_list_for(self, question: StateRequest) -> bool:
-        """Return whether this host's list of hosts is better than the asker's.
+    def _has_newer_list_for(self, request: StateRequest) -> bool:
+        """Return whether this host's list of hosts is newer than the requesting host's.
 
-        Whoever has a newer one tells it; of the same list a reader knows who asked it since.
+        At the same position a reader's list is preferred: it has the hosts that asked it since.
         """
         hosts = self.hosts
-        if question.hosts_position != hosts.position:
-            return question.hosts_position < hosts.position
-        return question.hosts_digest != hosts.digest and hosts.is_reader()
+        if request.hosts_position != hosts.position:
+            return request.hosts_position < hosts.position
+        return request.hosts_digest != hosts.digest and hosts.is_reader()
 
     def _handle_changed(self, message: Changed) -> None:
         if message.address in self.hosts.addresses():
@@ -334,7 +335,7 @@
     # Context stores
 
     def broadcast_store_lost(self, store: StoreId) -> None:
-        """Tell this hall that a store takes no connection, where this host asks it for others."""
+        """Notify this hall that a store accepts no connection, if this host is a reader."""
         if self.hosts.is_reader():
             self.peers.broadcast(self.hosts.hall_addresses(), StoreLost(store))
 
@@ -343,7 +344,7 @@
         if kept is not None:
             kept.note_lost()
 
-    # Engines that are to load weights
+    # Engines that load weights
 
     def handle_loading(self, message: Loading) -> None:
         """Send no new work to an engine for a while."""
@@ -353,7 +354,7 @@
             tracker.avoided_until = clocks.now_s() + message.seconds
 
     def handle_loaded(self, message: Loaded) -> None:
-        """Take that an engine has new weights and takes work again."""
+        """Apply that an engine has new weights and accepts work again."""
         self.load_message_at = clocks.now_s()
         tracker = self.trackers.by_id.get(message.upstream)
         if tracker is not None:
@@ -361,7 +362,10 @@
             tracker.avoided_until = 0.0
 
     def broadcast(self, message: Loading | Loaded) -> None:
-        """Tell this host and all others; whoever misses it learns it from entries later."""
+        """Send a message to all hosts, this one included.
+
+        A host that misses it learns the same later from the engine's entry.
+        """
         self._handle(message)
         for address in self.hosts.addresses():
             eventlet.spawn(self._send_load_message, address, message)
@@ -372,5 +376,5 @@
 
 
 def rank_for_duty(duty: str, neighbours: Neighbours) -> int:
-    """Return this host's place among the live ones for a duty; 0 comes first."""
+    """Return this host's rank among the responsive hosts for a duty; 0 is the first."""
     return rank_names(duty, neighbours.live_hosts).index(neighbours.address)
