--- a/libs/serving/ruddersaddle_serving/peers.py
+++ b/libs/serving/ruddersaddle_serving/peers.py
@@ -1,10 +1,13 @@
 """Messages to and from the other hosts, over `pynng` bus sockets.
 
-One socket takes all that comes; one for each peer is opened when it is first needed, so that links
-grow with use and not with the square of the hosts. Where a queue is full, on either side, a message
-is dropped without a word. (Push sockets send on connections that are gone, and end the process by a
-segmentation fault: 4 of 4 programs within 5 s whose peers were started again all the time, 0 of 8
-in 12 s on the bus.) `pynng` only moves the bytes; who is a peer comes from the host list.
+One socket receives all messages; one socket for each peer is opened when it is first needed, so
+that the number of connections grows with use and not with the square of the number of hosts. A
+message is dropped silently if a queue is full on either side. `pynng` only moves the bytes; the
+peers come from the list of hosts.
+
+Bus sockets are used because push sockets send on connections that are gone and end the process by a
+segmentation fault: with peers that restart all the time, 4 of 4 programs crashed within 5 s, and
+none of 8 with bus sockets within 12 s.
 """
 
 import itertools
@@ -23,41 +26,41 @@
 
 logger = logging.getLogger(__name__)
 
-# The library calls back on threads of its own. Green locks are for one thread: when two callbacks
-# met, one waited for good, and whoever closed its socket waited for it: the whole host stood still.
+# The library runs callbacks on threads of its own, but green locks work within one thread only: if
+# two callbacks contend, one waits forever, and so does whoever closes its socket: the host hangs.
 pynng.nng.threading = patcher.original("threading")
-# Log calls take locks, too; there is nothing to log there.
+# Log calls of the library's threads would acquire green locks as well; there is nothing to log.
 pynng.nng.logger.disabled = True
 
 CONNECT_S = 0.5
-"""Longest wait for a first connection to a peer, in seconds."""
-CONNECT_STEP_S = 0.01
+"""Time-out of the first connection to a peer, in seconds."""
+CONNECT_POLL_S = 0.01
 QUEUE_MESSAGES = 256
-"""Messages that wait for a slow peer; more are dropped."""
-MESSAGE_MAX = 16 * 1024 * 1024
+"""Capacity of the queue to a slow peer; further messages are dropped."""
+MESSAGE_MAX_BYTES = 16 * 1024 * 1024
 NO_ANSWER = 0
-"""Number of exchanges that expect no answer; others count from 1."""
+"""Exchange number of messages that expect no answer; others count from 1."""
 TASK_THREADS = 2
-"""Threads of the library; it would start about 30."""
+"""Number of task threads of the library; its default is about 30 threads in all."""
 
 Message = Any
-"""A message of the type that a `Peers` was made for."""
+"""A message of the type that an instance of `Peers` was created for."""
 Handler = Callable[[Message], Message]
 
 
 class Envelope(msgspec.Struct, frozen=True):
-    """A message on its way: the sender's peer address, the exchange it belongs to."""
+    """A message in transit, with the sender's peer address and the number of the exchange."""
 
     sender: str
     exchange: int
     is_answer: bool
     message: msgspec.Raw
     got_no_answer: bool = False
-    """The sender's last question to this host was not answered: the connection back may be dead."""
+    """The sender's last request to this host was not answered: the connection back may be dead."""
 
 
 def limit_threads() -> None:
-    """Keep the library's threads few; call before the first socket is opened."""
+    """Limit the number of the library's threads; call before the first socket is opened."""
     library = pynng._nng.lib
     for name in ("TASK", "EXPIRE", "POLLER"):
         library.nng_init_set_parameter(getattr(library, f"NNG_INIT_NUM_{name}_THREADS"), 1)
@@ -68,7 +71,7 @@
 
 
 class Peers:
-    """This host's end of the messages to all others; `message_type` is a union of structs."""
+    """This host's endpoint for messages to all others; `message_type` is a union of structs."""
 
     def __init__(self, address: str, handler: Handler, message_type: Any) -> None:
         self.address = address
@@ -80,17 +83,17 @@
         self._socket_by_address: dict[str, pynng.Bus0] = {}
         self._signal_by_exchange: dict[int, Signal] = {}
         self._unanswered: set[str] = set()
-        """Peers that did not answer the last question."""
-        self._exchanges = itertools.count(1)
+        """Peers that did not answer the last request."""
+        self._exchange_numbers = itertools.count(1)
 
     def start(self) -> None:
-        """Listen, and start the task that takes messages."""
+        """Listen, and start the task that receives messages."""
         self._socket = pynng.Bus0(
-            listen=f"tcp://{self.address}", recv_max_size=MESSAGE_MAX, recv_buffer_size=512
+            listen=f"tcp://{self.address}", recv_max_size=MESSAGE_MAX_BYTES, recv_buffer_size=512
         )
-        eventlet.spawn(self._run)
+        eventlet.spawn(self._receive_all)
 
-    def _run(self) -> None:
+    def _receive_all(self) -> None:
         while True:
             try:
                 data = self._socket.recv(block=False)
@@ -100,30 +103,32 @@
             except pynng.Closed:
                 return
             self.received_bytes += len(data)
-            self._take(data)
+            self._receive(data)
 
-    def _take(self, data: bytes) -> None:
+    def _receive(self, data: bytes) -> None:
         envelope = decode_packed(data, Envelope, Step.PEER, "peer")
         if isinstance(envelope, Failure):
-            logger.warning("Unreadable message. %s", envelope.detail)
+            logger.warning("Message could not be decoded. %s", envelope.detail)
             return
         if envelope.got_no_answer:
-            self._close_to(envelope.sender, "it got no answer")
+            self._close_to(envelope.sender, "the peer got no answer")
         message = decode_packed(bytes(envelope.message), self.message_type, Step.PEER, "peer")
         if isinstance(message, Failure):
-            logger.warning("Unreadable message of %s. %s", envelope.sender, message.detail)
+            logger.warning(
+                "Message of %s could not be decoded. %s", envelope.sender, message.detail
+            )
         elif envelope.is_answer:
-            self._take_answer(envelope, message)
+            self._handle_answer(envelope, message)
         else:
-            eventlet.spawn(self._serve, envelope, message)
+            eventlet.spawn(self._handle_request, envelope, message)
 
-    def _take_answer(self, envelope: Envelope, message: Message) -> None:
+    def _handle_answer(self, envelope: Envelope, message: Message) -> None:
         signal = self._signal_by_exchange.get(envelope.exchange)
-        # An answer that comes after its asker gave up finds no signal and is dropped.
+        # An answer that arrives after the time-out of its request finds no signal and is dropped.
         if signal is not None and not signal.ready():
             signal.send(message)
 
-    def _serve(self, envelope: Envelope, message: Message) -> None:
+    def _handle_request(self, envelope: Envelope, message: Message) -> None:
         answer = self.handler(message)
         if envelope.exchange == NO_ANSWER:
             return
@@ -132,46 +137,46 @@
     def _wrap(self, exchange: int, is_answer: bool, message: Message) -> Envelope:
         return Envelope(self.address, exchange, is_answer, msgspec.Raw(encode_packed(message)))
 
-    def _wrap_question(self, address: str, exchange: int, message: Message) -> Envelope:
+    def _wrap_request(self, address: str, exchange: int, message: Message) -> Envelope:
         envelope = self._wrap(exchange, False, message)
         is_unanswered = address in self._unanswered
         return msgspec.structs.replace(envelope, got_no_answer=is_unanswered)
 
     def ask(self, address: str, message: Message, timeout_s: float) -> Message | Failure:
-        """Ask the host at a peer address; a failure says that no answer came, not that it ran."""
-        exchange = next(self._exchanges)
+        """Ask the host at a peer address; after a failure the message may have been handled."""
+        exchange = next(self._exchange_numbers)
         signal: Signal = Signal()
         self._signal_by_exchange[exchange] = signal
         try:
-            if not self._send_envelope(address, self._wrap_question(address, exchange, message)):
-                return self._gone(address, "not connected")
+            if not self._send_envelope(address, self._wrap_request(address, exchange, message)):
+                return self._unreachable(address, "not connected")
             with eventlet.Timeout(timeout_s, False):
                 answer = signal.wait()
                 self._unanswered.discard(address)
                 return answer
-            self._note_unanswered(address)
-            return self._gone(address, f"no answer within {timeout_s:.1f} s")
+            self._record_unanswered(address)
+            return self._unreachable(address, f"no answer within {timeout_s:.1f} s")
         finally:
             del self._signal_by_exchange[exchange]
 
-    def _note_unanswered(self, address: str) -> None:
-        """Use new connections both ways from now on: those that stand may be silent for good."""
+    def _record_unanswered(self, address: str) -> None:
+        """Close the connection: the next messages use new ones, as this one may be dead."""
         self._unanswered.add(address)
-        self._close_to(address, "it did not answer")
+        self._close_to(address, "the peer did not answer")
 
     def _close_to(self, address: str, reason: str) -> None:
         """Close the connection to a peer; the next message opens a new one."""
         socket = self._socket_by_address.pop(address, None)
         if socket is not None:
-            logger.info("Connection to %s is closed, %s.", address, reason)
+            logger.info("Connection to %s closed: %s.", address, reason)
             socket.close()
 
     def send(self, address: str, message: Message) -> None:
-        """Send a message that needs no answer; it is dropped where no connection stands yet."""
+        """Send a message that needs no answer; it is dropped if there is no connection yet."""
         self.broadcast([address], message)
 
     def broadcast(self, addresses: Iterable[str], message: Message) -> None:
-        """Send one message to many hosts, as `tell` does."""
+        """Send one message to many hosts, as `send` does."""
         data = encode_packed(self._wrap(NO_ANSWER, False, message))
         for address in addresses:
             socket = self._socket_to(address)
@@ -206,19 +211,19 @@
     def _await_connection(self, socket: pynng.Bus0) -> bool:
         waited_s = 0.0
         while not socket.pipes and waited_s < CONNECT_S:
-            eventlet.sleep(CONNECT_STEP_S)
-            waited_s += CONNECT_STEP_S
+            eventlet.sleep(CONNECT_POLL_S)
+            waited_s += CONNECT_POLL_S
         return bool(socket.pipes)
 
     def keep_only(self, addresses: set[str]) -> None:
-        """Close the sockets to peers that are no longer listed."""
+        """Close the sockets to peers that are not in `addresses`."""
         for address in set(self._socket_by_address) - addresses:
             self._socket_by_address.pop(address).close()
         self._unanswered &= addresses
 
     def connected(self) -> list[str]:
-        """Return the peers to which a connection was opened."""
+        """Return the addresses of the peers to which a socket is open."""
         return sorted(self._socket_by_address)
 
-    def _gone(self, address: str, detail: str) -> Failure:
+    def _unreachable(self, address: str, detail: str) -> Failure:
         return Failure(Code.PEER_GONE, Step.PEER, address, detail, Ran.UNKNOWN)
--- a/libs/serving/ruddersaddle_serving/tests/peer_churns.py
+++ b/libs/serving/ruddersaddle_serving/tests/peer_churns.py
@@ -1,4 +1,4 @@
-"""Program for a test: peers that come and go all the time, on the green library."""
+"""Program for a test: peers that connect and disconnect all the time, on green threads."""
 
 import random
 import sys
@@ -17,11 +17,11 @@
 ASK_S = 0.5
 PAUSE_S = 0.02
 SWITCH_S = 1e-6
-"""Threads take turns this often, so that the library's own meet in its callbacks."""
+"""Switch interval of threads; so short that the library's threads contend in its callbacks."""
 
 
-def come_and_go(peers: Peers, address: str, until: float) -> None:
-    """Connect to a peer and close the connection, again and again."""
+def reconnect_repeatedly(peers: Peers, address: str, until: float) -> None:
+    """Connect to a peer and close the connection repeatedly."""
     while time.monotonic() < until:
         peers.ask(address, "question", ASK_S)
         eventlet.sleep(random.random() * PAUSE_S)
@@ -30,15 +30,15 @@
 
 
 def churn(ports: list[str]) -> None:
-    """Let a peer at each port come and go, from the point of view of all others."""
+    """Run a peer at each port; each connects to all others and disconnects repeatedly."""
     addresses = [f"127.0.0.1:{port}" for port in ports]
-    every = [Peers(address, lambda message: message, str) for address in addresses]
-    for peers in every:
+    all_peers = [Peers(address, lambda message: message, str) for address in addresses]
+    for peers in all_peers:
         peers.start()
     until = time.monotonic() + CHURN_S
     tasks = [
-        eventlet.spawn(come_and_go, peers, address, until)
-        for peers in every
+        eventlet.spawn(reconnect_repeatedly, peers, address, until)
+        for peers in all_peers
         for address in addresses
         if address != peers.address
     ]
@@ -47,7 +47,7 @@
 
 
 def main(ports: list[str]) -> None:
-    """Let all peers come and go, then end as a host does."""
+    """Run the churn, then exit as a host does."""
     limit_threads()
     sys.setswitchinterval(SWITCH_S)
     churn(ports)
--- a/libs/serving/ruddersaddle_serving/tests/restart_churns.py
+++ b/libs/serving/ruddersaddle_serving/tests/restart_churns.py
@@ -1,6 +1,6 @@
-"""Program for a test: one host tells many things to peers that end and start again all the time.
+"""Program for a test: one host sends many messages to peers that restart all the time.
 
-The peers listen on threads of this process; the green library is not in it.
+The peers listen on threads of this process; the program uses no green threads.
 """
 
 import os
@@ -14,38 +14,39 @@
 from ruddersaddle_serving.peers import Peers
 
 CHURN_S = 12.0
-"""Four programs of four ended before that, after 1.1 to 4.9 s, with 23 peers."""
-LIVES_S = 0.06
-"""Longest life of a peer."""
+"""Duration of the churn. With push sockets and 23 peers, 4 of 4 programs crashed within 1.1 to
+4.9 s."""
+LIFETIME_MAX_S = 0.06
+"""Longest lifetime of a peer."""
 PAUSE_S = 0.002
-"""Pause where a peer's port is not free yet."""
+"""Pause before the next attempt if a peer's port is not free yet."""
 SIZES = (20, 500)
 
 
-def live_and_die(port: str, until: float) -> None:
-    """Listen for a short while, again and again."""
+def restart_repeatedly(port: str, until: float) -> None:
+    """Listen for a short while, repeatedly."""
     while time.monotonic() < until:
         try:
             listener = pynng.Bus0(listen=f"tcp://127.0.0.1:{port}", recv_buffer_size=64)
         except pynng.NNGException:
             time.sleep(PAUSE_S)
             continue
-        time.sleep(random.random() * LIVES_S)
+        time.sleep(random.random() * LIFETIME_MAX_S)
         listener.close()
 
 
 def main(ports: list[str]) -> None:
-    """Tell all peers, as often as it goes, while they come and go."""
+    """Send to all peers, without pauses, while they restart."""
     own, *others = ports
     until = time.monotonic() + CHURN_S
     for port in others:
-        threading.Thread(target=live_and_die, args=(port, until), daemon=True).start()
+        threading.Thread(target=restart_repeatedly, args=(port, until), daemon=True).start()
     peers = Peers(f"127.0.0.1:{own}", lambda message: message, str)
     addresses = [f"127.0.0.1:{port}" for port in others]
     while time.monotonic() < until:
         peers.broadcast(addresses, "x" * random.choice(SIZES))
     print("done", flush=True)
-    # Listeners may be in a call of the library; its own end would wait for them.
+    # Listeners may be inside a call of the library, and a normal exit would wait for them.
     os._exit(0)
 
 
