--- a/libs/serving/ruddersaddle_serving/entry_hosts.py
+++ b/libs/serving/ruddersaddle_serving/entry_hosts.py
@@ -18,9 +18,9 @@
 from ruddersaddle_base.settings import Settings
 from ruddersaddle_routing.retries import RetryBudget
 
-from ruddersaddle_serving.caller_listeners import LastingListener, find_room
+from ruddersaddle_serving.caller_listeners import ResilientListener, connection_limit
 from ruddersaddle_serving.caller_pools import CallerPool
-from ruddersaddle_serving.caller_protocols import HEAD_MAX, CallerProtocol
+from ruddersaddle_serving.caller_protocols import HEAD_BYTES_MAX, CallerProtocol
 from ruddersaddle_serving.crash_records import CrashRecords
 from ruddersaddle_serving.crash_watches import CrashWatch
 from ruddersaddle_serving.fence_leases import FenceLease
@@ -44,7 +44,7 @@
 from ruddersaddle_serving.probes import Probes
 from ruddersaddle_serving.publications import Publications
 from ruddersaddle_serving.replaced_parts import ReplacedParts
-from ruddersaddle_serving.request_ends import cut_fields
+from ruddersaddle_serving.request_ends import interrupted_fields
 from ruddersaddle_serving.self_reports import SelfReport
 from ruddersaddle_serving.socket_liveness import set_listener_options
 from ruddersaddle_serving.standstills import Standstills
@@ -89,7 +89,7 @@
 class ServedPort:
     """A listener, the task of its server, and the tasks of its connections."""
 
-    listener: LastingListener
+    listener: ResilientListener
     server: GreenThread
     pool: CallerPool
 
@@ -246,7 +246,7 @@
         try:
             self._serve()
         except Exception:
-            fields = cut_fields(self.front.under_way())
+            fields = interrupted_fields(self.front.active_requests())
             logger.critical(
                 "Host %s ends by a fault.", self.incarnation, exc_info=True, extra=fields
             )
@@ -270,8 +270,8 @@
         host, _, port = self.settings.text(name).rpartition(":")
         listener = eventlet.listen((host, int(port)), backlog=BACKLOG, reuse_port=False)
         set_listener_options(listener)
-        pool = CallerPool(find_room())
-        listener = LastingListener(listener, pool)
+        pool = CallerPool(connection_limit())
+        listener = ResilientListener(listener, pool)
         server = eventlet.spawn(
             eventlet.wsgi.server,
             listener,
@@ -280,7 +280,7 @@
             log_output=False,
             minimum_chunk_size=0,
             custom_pool=pool,
-            url_length_limit=HEAD_MAX,
+            url_length_limit=HEAD_BYTES_MAX,
             debug=False,
         )
         return ServedPort(listener, server, pool)
@@ -361,7 +361,9 @@
         budget = {"spent": self.budget.spent, "denied": self.budget.denied}
         lines = format_gauges(gauges)
         lines += format_counters("answers", "answers by status", self.front.counts)
-        lines += format_counters("requests_ended", "requests by how they ended", self.front.ends)
+        lines += format_counters(
+            "requests_ended", "requests by how they ended", self.front.outcome_counts
+        )
         by_size = self.front.sizes.rows()
         lines += format_labelled("requests_by_size", "prompts by size and end", by_size)
         lines += format_counters("dropped_writes", "log lines, other texts", count_dropped())
@@ -409,7 +411,7 @@
         """
         self.signals.note(number)
         self.stopping = True
-        self.front.closing = True
+        self.front.draining = True
         self.rollouts.stopping = True
         self.replaced.stopping = True
 
@@ -421,7 +423,7 @@
         self._sleep_until(self.signals.first_at + ACCEPT_AFTER_STOP_S)
         # One round of the loop takes what arrived while the process got no processor.
         eventlet.sleep(0)
-        callers.pool.keep_waiting()
+        callers.pool.mark_unread_as_busy()
         # The runner closes idle connections as it ends, and goes on with the others.
         callers.server.kill()
         callers.listener.close()
@@ -430,7 +432,7 @@
         # stream, don't count as active.
         while (self.front.active or not callers.server.dead) and clocks.now_s() < latest:
             eventlet.sleep(STOP_STEP_S)
-        fields = cut_fields(self.front.under_way())
+        fields = interrupted_fields(self.front.active_requests())
         level = logging.WARNING if fields["cut"] else logging.INFO
         fields["signals"] = self.signals.count
         logger.log(level, "Host %s has stopped.", self.incarnation, extra=fields)
--- a/libs/serving/ruddersaddle_serving/hosts.py
+++ b/libs/serving/ruddersaddle_serving/hosts.py
@@ -13,7 +13,7 @@
 from ruddersaddle_base.ids import HallId, HostId
 from ruddersaddle_routing.rendezvous import rank_names
 
-from ruddersaddle_serving.ports import START, StorePosition
+from ruddersaddle_serving.ports import TOPIC_START, StorePosition
 
 logger = logging.getLogger(__name__)
 
@@ -48,8 +48,8 @@
         self.by_id: dict[HostId, HostRecord] = {}
         self.known_at = float("inf")
         """When this host first had a list, read or received; by the steady clock."""
-        self.position = START
-        """Position after the newest record of the list; START if it is not known."""
+        self.position = TOPIC_START
+        """Position after the newest record of the list; TOPIC_START if it is not known."""
         self._seeds = [seed for seed in seeds if seed and seed != own.address]
         self._unresponsive_until: dict[str, float] = {}
         self._failures_by_address: dict[str, int] = {}
@@ -66,7 +66,9 @@
         """Whether this host has had a list."""
         return self.known_at != float("inf")
 
-    def replace(self, records: dict[HostId, HostRecord], position: StorePosition = START) -> bool:
+    def replace(
+        self, records: dict[HostId, HostRecord], position: StorePosition = TOPIC_START
+    ) -> bool:
         """Apply a complete list as of a position; return whether it differs from the known one.
 
         A list older than the known one is ignored. Otherwise hosts that read the list while others
--- a/libs/serving/ruddersaddle_serving/neighbour_messages.py
+++ b/libs/serving/ruddersaddle_serving/neighbour_messages.py
@@ -10,7 +10,7 @@
 from ruddersaddle_serving.hosts import HostRecord
 from ruddersaddle_serving.load_shares import LoadSums, Notices
 from ruddersaddle_serving.part_news import AskParts, PartsNews, StoreLost
-from ruddersaddle_serving.ports import START, ModelVersion, StorePosition
+from ruddersaddle_serving.ports import TOPIC_START, ModelVersion, StorePosition
 from ruddersaddle_serving.publications import NamingAge
 from ruddersaddle_serving.routes import Published
 from ruddersaddle_serving.store_eras import ERA_UNKNOWN
@@ -31,7 +31,7 @@
     """Revision of the peer's crash records that the sender has."""
     era: int = ERA_UNKNOWN
     """Newest era of the store that the sender knows."""
-    hosts_position: StorePosition = START
+    hosts_position: StorePosition = TOPIC_START
     """Position of the sender's list of hosts."""
 
 
@@ -66,7 +66,7 @@
     """Upstreams among `entries` that are missing in the store and kept for a grace period."""
     evacuated: tuple[HallId, ...] | None = None
     """The evacuated halls as of `end`; None from a host that doesn't support evacuations."""
-    hosts_position: StorePosition = START
+    hosts_position: StorePosition = TOPIC_START
     """Position of the list in `hosts`."""
     cold: tuple[ColdStart, ...] = ()
     """Instances of upstreams that are cold."""
--- a/libs/serving/ruddersaddle_serving/publications.py
+++ b/libs/serving/ruddersaddle_serving/publications.py
@@ -8,7 +8,7 @@
 from ruddersaddle_base.ids import ModelId
 
 from ruddersaddle_serving.evacuations import Evacuations
-from ruddersaddle_serving.ports import START, ModelVersion, StorePosition
+from ruddersaddle_serving.ports import TOPIC_START, ModelVersion, StorePosition
 from ruddersaddle_serving.routes import Published, RouteTable
 
 logger = logging.getLogger(__name__)
@@ -59,7 +59,7 @@
         self.evacuations = Evacuations()
         self.listeners: list[Callable[[RouteTable], None]] = []
         """Called synchronously with each configuration that comes into force."""
-        self.end = START
+        self.end = TOPIC_START
         """Position after the newest record that was applied."""
         self.settling_until = float("-inf")
         """Until then nothing counts as confirmed: a host that has just started asks other hosts
@@ -156,7 +156,7 @@
 
     def is_of_later_era(self, end: StorePosition) -> bool:
         """Return whether the store was restored from a copy after the last confirmation."""
-        return self.end != START and end.era > self.end.era
+        return self.end != TOPIC_START and end.era > self.end.era
 
     def confirm(self, asked_at: float, end: StorePosition) -> bool:
         """Record a response to a request sent at `asked_at`; reject one that lags behind."""
