--- a/libs/serving/ruddersaddle_serving/store_followers.py
+++ b/libs/serving/ruddersaddle_serving/store_followers.py
@@ -54,23 +54,23 @@
 
     def __init__(self, name: str = "Store") -> None:
         self.name = name
-        self.lost_since: float | None = None
+        self.unavailable_since: float | None = None
         self.answered_at = float("-inf")
 
     def record(self, answer: object) -> None:
         """Record the result of a call."""
         if isinstance(answer, Failure) and answer.code is not Code.GAP:
-            if self.lost_since is None:
-                self.lost_since = clocks.now_s()
+            if self.unavailable_since is None:
+                self.unavailable_since = clocks.now_s()
                 logger.warning(
                     "%s is unavailable. %s: %s", self.name, answer.step.value, answer.detail
                 )
             return
         self.answered_at = clocks.now_s()
-        if self.lost_since is not None:
-            outage_s = clocks.now_s() - self.lost_since
+        if self.unavailable_since is not None:
+            outage_s = clocks.now_s() - self.unavailable_since
             logger.info("%s is available again after %.1f s.", self.name, outage_s)
-            self.lost_since = None
+            self.unavailable_since = None
 
 
 class TopicFollower:
@@ -126,7 +126,7 @@
             self.record_outage()
 
     def apply(self, page: Page, complete: bool, asked_at: float) -> bool:
-        """Apply a page; return whether it is not older than what is known."""
+        """Apply a page, `complete` or of changes; return whether it is not older than the view."""
         raise NotImplementedError
 
     @property
