--- a/libs/serving/ruddersaddle_serving/engine_loads.py
+++ b/libs/serving/ruddersaddle_serving/engine_loads.py
@@ -1,7 +1,7 @@
-"""What an engine has to read and what it keeps, from what all hosts send to it.
+"""Estimates an engine's queued prefill, memory use and cached parts from what all hosts send to it.
 
-Hosts tell one another of each request that they send, when its first event came, and when it ended.
-What was sent and has no first event yet is what the engine still has to read.
+Hosts notify one another of each request that they send, of its first event and of its end. Requests
+that were sent and have no first event yet are the prefill that is still queued.
 """
 
 from collections import OrderedDict
@@ -9,44 +9,45 @@
 import msgspec
 from ruddersaddle_base import clocks
 
-from ruddersaddle_serving.admissions import Standing
-from ruddersaddle_serving.paces import Observation, Pace
+from ruddersaddle_serving.admissions import Backlog
+from ruddersaddle_serving.paces import Observation, ServiceTime
 from ruddersaddle_serving.prompts import Part, PartId
-from ruddersaddle_serving.silences import TOLD_TRUST_S
+from ruddersaddle_serving.silences import REPORT_TTL_S
 
-FORGET_S = 8.0
-"""A request of which nothing more was heard is forgotten after this long: its host may be gone.
-Runs of 160 tokens take a few seconds where an engine is full."""
+REQUEST_TTL_S = 8.0
+"""A request without further notices is dropped after this long, because its host may be gone. Runs
+of 160 tokens take a few seconds on a full engine."""
 
-RUN_START_S = 1.0
-"""Length of a run before any was seen; the known kinds take 0.1 to 5 s."""
+INITIAL_RUN_S = 1.0
+"""Assumed length of a run before the first observation; known kinds take 0.1 to 5 s."""
 RUN_WEIGHT = 0.05
-"""Weight of the newest run in the mean: about the last twenty count, a second or two of them."""
+"""Weight of the latest run in the moving average, which covers about the last twenty runs, or one
+to two seconds."""
 RUN_WEIGHT_MAX = 0.3
-"""Most that one run of many tokens weighs in the mean length by memory."""
+"""Limit on the weight of one run with many tokens in the average weighted by memory."""
 
-PRIORITIES = 10
-"""Steps of urgency that engines know; 0 goes first."""
+PRIORITY_LEVELS = 10
+"""Priority levels of engines; 0 is the highest."""
 
 
-class Sent(msgspec.Struct):
-    """A request that was sent to the engine. `work_s` is the nominal time that reading it takes."""
+class SentRequest(msgspec.Struct):
+    """A request sent to the engine; `prefill_s` is its nominal prefill time."""
 
     priority: int
-    work_s: float
+    prefill_s: float
     tokens: int
-    """Memory that it needs by itself."""
+    """Memory that it doesn't share with other requests."""
     salt: str
     parts: tuple[Part, ...]
     """Parts that it shares with other requests."""
-    at: float
-    seen: Observation | None
-    """What stands before its first event; None where it waits for memory first."""
+    sent_at: float
+    observation: Observation | None
+    """Work ahead of its first event; None if it has to wait for memory first."""
     first_at: float | None = None
 
 
 class PartUse(msgspec.Struct):
-    """A shared part that running requests use, counted at the urgency of the first of them."""
+    """A shared part in use by running requests, counted at the priority of the first of them."""
 
     tokens: int
     priority: int
@@ -54,9 +55,9 @@
 
 
 class LoadSum(msgspec.Struct, frozen=True, array_like=True):
-    """What stands at an engine, summed by urgency: reading in milliseconds, memory in tokens."""
+    """Load of an engine summed by priority: prefill in milliseconds, memory in tokens."""
 
-    work_ms: tuple[int, ...] = ()
+    prefill_ms: tuple[int, ...] = ()
     tokens: tuple[int, ...] = ()
     requests: tuple[int, ...] = ()
 
@@ -64,89 +65,97 @@
 class EngineLoad:
     """The requests at one engine, by the number that their host gave them.
 
-    An engine lets the more urgent in first, so what a request waits for is what is as urgent as it.
-    Requests that this host does not hear of one by one come as sums, by whom they were told.
+    An engine admits higher priorities first, so a request waits for those of the same or a higher
+    priority. Requests that this host gets no notices of are known as sums, by reporting host.
     """
 
     def __init__(self) -> None:
-        self.by_number: OrderedDict[tuple[str, int], Sent] = OrderedDict()
-        self.run_s = RUN_START_S
-        """Mean length of a run from its first event, in seconds; slots come free by it."""
-        self.memory_run_s = RUN_START_S
-        """The same weighed by the tokens of runs; memory comes free by it. Few long runs hold most
-        of it: by the plain mean, waits of 1.5 s were predicted as 0.3 s."""
+        self.by_number: OrderedDict[tuple[str, int], SentRequest] = OrderedDict()
+        self.run_s = INITIAL_RUN_S
+        """Mean length of a run from its first event, in seconds; sets how fast slots become
+        free."""
+        self.memory_run_s = INITIAL_RUN_S
+        """Mean weighted by the tokens of runs; sets how fast memory becomes free. A few long runs
+        hold most of the memory: the plain mean predicted 0.3 s for waits of 1.5 s."""
         self._mean_tokens = 0.0
-        self.pace = Pace()
-        self._work_by_priority = [0.0] * PRIORITIES
-        self._tokens_by_priority = [0] * PRIORITIES
-        self._requests_by_priority = [0] * PRIORITIES
-        self._uses_by_part: dict[tuple[str, PartId], PartUse] = {}
-        self._others_by_source: dict[str, tuple[LoadSum, float]] = {}
+        self.service_time = ServiceTime()
+        self._prefill_by_priority = [0.0] * PRIORITY_LEVELS
+        self._tokens_by_priority = [0] * PRIORITY_LEVELS
+        self._requests_by_priority = [0] * PRIORITY_LEVELS
+        self._use_by_part: dict[tuple[str, PartId], PartUse] = {}
+        self._remote_by_source: dict[str, tuple[LoadSum, float]] = {}
 
     @property
     def tokens(self) -> int:
         """Tokens of the requests at the engine."""
-        return sum(self._tokens_by_priority) + sum(self._others_tokens())
+        return sum(self._tokens_by_priority) + sum(self._remote_tokens())
 
     def own_sum(self) -> LoadSum:
-        """Return the sum of the requests that this host hears of one by one."""
-        self._forget_old()
-        work_ms = _strip_zeros([round(each * 1000) for each in self._work_by_priority])
-        tokens = _strip_zeros(self._tokens_by_priority)
-        return LoadSum(work_ms, tokens, _strip_zeros(self._requests_by_priority))
+        """Return the sum of the requests that this host gets notices of."""
+        self._expire_old()
+        prefill_ms = _strip_trailing_zeros(
+            [round(each * 1000) for each in self._prefill_by_priority]
+        )
+        tokens = _strip_trailing_zeros(self._tokens_by_priority)
+        return LoadSum(prefill_ms, tokens, _strip_trailing_zeros(self._requests_by_priority))
 
     def total_sum(self) -> LoadSum:
-        """Return the sum of all requests that are known to be at the engine."""
-        sums = [self.own_sum(), *self._others()]
+        """Return the sum of all known requests at the engine."""
+        sums = [self.own_sum(), *self._remote_sums()]
         return LoadSum(
-            _strip_zeros(_sum_rows([each.work_ms for each in sums])),
-            _strip_zeros(_sum_rows([each.tokens for each in sums])),
-            _strip_zeros(_sum_rows([each.requests for each in sums])),
+            _strip_trailing_zeros(_sum_rows([each.prefill_ms for each in sums])),
+            _strip_trailing_zeros(_sum_rows([each.tokens for each in sums])),
+            _strip_trailing_zeros(_sum_rows([each.requests for each in sums])),
         )
 
-    def take_sum(self, source: str, told: LoadSum, includes_own: bool) -> None:
-        """Take a sum of requests that were sent elsewhere; it counts for `TOLD_TRUST_S`."""
+    def apply_sum(self, source: str, reported: LoadSum, includes_own: bool) -> None:
+        """Apply a reported sum of requests from other hosts; it counts for `REPORT_TTL_S`."""
         if includes_own and self.by_number:
-            told = _subtract(told, self.own_sum())
-        self._others_by_source[source] = (told, clocks.now_s())
+            reported = _subtract(reported, self.own_sum())
+        self._remote_by_source[source] = (reported, clocks.now_s())
 
-    def _others(self) -> list[LoadSum]:
-        oldest_at = clocks.now_s() - TOLD_TRUST_S
-        return [told for told, at in self._others_by_source.values() if at > oldest_at]
+    def _remote_sums(self) -> list[LoadSum]:
+        oldest_at = clocks.now_s() - REPORT_TTL_S
+        return [reported for reported, at in self._remote_by_source.values() if at > oldest_at]
 
-    def _others_tokens(self) -> list[int]:
-        return _sum_rows([told.tokens for told in self._others()])
+    def _remote_tokens(self) -> list[int]:
+        return _sum_rows([reported.tokens for reported in self._remote_sums()])
 
-    def _others_requests(self) -> list[int]:
-        return _sum_rows([told.requests for told in self._others()])
+    def _remote_requests(self) -> list[int]:
+        return _sum_rows([reported.requests for reported in self._remote_sums()])
 
-    def _others_work(self) -> list[float]:
-        return [work_ms / 1000 for work_ms in _sum_rows([told.work_ms for told in self._others()])]
+    def _remote_prefill(self) -> list[float]:
+        return [
+            prefill_ms / 1000
+            for prefill_ms in _sum_rows([reported.prefill_ms for reported in self._remote_sums()])
+        ]
 
     def add(
         self,
         number: tuple[str, int],
         priority: int,
-        work_s: float,
+        prefill_s: float,
         tokens: int,
         fetch_s: float = 0.0,
         capacity_tokens: int = 0,
         salt: str = "",
         parts: tuple[Part, ...] = (),
     ) -> None:
-        """Take that a request was sent; `fetch_s` is the time until its parts are fetched.
+        """Record that a request was sent; `fetch_s` is the time to fetch its parts.
 
-        `tokens` is all memory that it needs, that of its shared `parts` included.
+        `tokens` is all memory that it needs, including its shared `parts`.
         """
-        self._forget_old()
-        priority = min(PRIORITIES - 1, max(0, priority))
-        has_room = capacity_tokens <= 0 or self.tokens + tokens <= capacity_tokens
-        reading_s = self._reading_s(priority) + work_s
-        seen = Observation(reading_s, fetch_s) if has_room else None
+        self._expire_old()
+        priority = min(PRIORITY_LEVELS - 1, max(0, priority))
+        fits_memory = capacity_tokens <= 0 or self.tokens + tokens <= capacity_tokens
+        queued_prefill_s = self._queued_prefill_s(priority) + prefill_s
+        observation = Observation(queued_prefill_s, fetch_s) if fits_memory else None
         own = max(0, tokens - sum(part.tokens for part in parts))
         now = clocks.now_s()
-        self.by_number[number] = Sent(priority, work_s, own, salt, parts, now, seen)
-        self._work_by_priority[priority] += work_s
+        self.by_number[number] = SentRequest(
+            priority, prefill_s, own, salt, parts, now, observation
+        )
+        self._prefill_by_priority[priority] += prefill_s
         self._tokens_by_priority[priority] += own
         self._requests_by_priority[priority] += 1
         for part in parts:
@@ -155,36 +164,36 @@
     def _use_part(self, key: tuple[str, PartId], tokens: int, priority: int) -> None:
         """Count a shared part once, for the first request that uses it.
 
-        Counted for each request, 230,000 tokens stood for 175,000 where many prompts share much.
+        Counting it for each request gave 230,000 tokens instead of 175,000 when prompts share much.
         """
-        use = self._uses_by_part.get(key)
+        use = self._use_by_part.get(key)
         if use is None:
-            self._uses_by_part[key] = PartUse(tokens, priority)
+            self._use_by_part[key] = PartUse(tokens, priority)
             self._tokens_by_priority[priority] += tokens
         else:
             use.count += 1
 
-    def _leave_part(self, key: tuple[str, PartId]) -> None:
-        use = self._uses_by_part[key]
+    def _release_part(self, key: tuple[str, PartId]) -> None:
+        use = self._use_by_part[key]
         use.count -= 1
         if not use.count:
-            del self._uses_by_part[key]
+            del self._use_by_part[key]
             self._tokens_by_priority[use.priority] -= use.tokens
 
-    def note_first(self, number: tuple[str, int]) -> None:
-        """Take that the first event of a request came, so that its prompt was read."""
+    def record_first_event(self, number: tuple[str, int]) -> None:
+        """Record the first event of a request, which ends its prefill."""
         sent = self.by_number.get(number)
         if sent is not None and sent.first_at is None:
             sent.first_at = clocks.now_s()
-            if sent.seen is not None:
-                self.pace.note(sent.seen, sent.first_at - sent.at)
-            self._drop_work(sent)
+            if sent.observation is not None:
+                self.service_time.record(sent.observation, sent.first_at - sent.sent_at)
+            self._drop_prefill(sent)
 
-    def _drop_work(self, sent: Sent) -> None:
-        left_s = self._work_by_priority[sent.priority] - sent.work_s
-        self._work_by_priority[sent.priority] = max(0.0, left_s)
+    def _drop_prefill(self, sent: SentRequest) -> None:
+        left_s = self._prefill_by_priority[sent.priority] - sent.prefill_s
+        self._prefill_by_priority[sent.priority] = max(0.0, left_s)
 
-    def _note_run(self, run_s: float, tokens: int) -> None:
+    def _record_run(self, run_s: float, tokens: int) -> None:
         self.run_s += RUN_WEIGHT * (run_s - self.run_s)
         if not self._mean_tokens:
             self._mean_tokens = float(tokens)
@@ -193,88 +202,88 @@
         self.memory_run_s += weight * (run_s - self.memory_run_s)
 
     def end(self, number: tuple[str, int]) -> None:
-        """Take that a request ended."""
+        """Record that a request ended."""
         sent = self.by_number.get(number)
         if sent is None:
             return
         if sent.first_at is None:
-            self._drop_work(sent)
+            self._drop_prefill(sent)
         else:
             tokens = sent.tokens + sum(part.tokens for part in sent.parts)
-            self._note_run(clocks.now_s() - sent.first_at, tokens)
+            self._record_run(clocks.now_s() - sent.first_at, tokens)
         del self.by_number[number]
         for part in sent.parts:
-            self._leave_part((sent.salt, part.id))
+            self._release_part((sent.salt, part.id))
         self._tokens_by_priority[sent.priority] -= sent.tokens
         self._requests_by_priority[sent.priority] -= 1
 
-    def standing(self, priority: int) -> Standing:
-        """Return what stands at the engine for a request of this urgency."""
-        steps = priority + 1
-        requests = _sum_rows([tuple(self._requests_by_priority), tuple(self._others_requests())])
-        return Standing(
-            reading_s=self._reading_s(priority) * self.pace.factor,
-            tokens=sum(self._tokens_by_priority[:steps]) + sum(self._others_tokens()[:steps]),
+    def backlog(self, priority: int) -> Backlog:
+        """Return what is queued and running ahead of a request of this priority."""
+        levels = priority + 1
+        requests = _sum_rows([tuple(self._requests_by_priority), tuple(self._remote_requests())])
+        return Backlog(
+            queued_prefill_s=self._queued_prefill_s(priority) * self.service_time.factor,
+            tokens=sum(self._tokens_by_priority[:levels]) + sum(self._remote_tokens()[:levels]),
             requests=sum(requests),
-            less_urgent=sum(requests[steps:]),
+            lower_priority=sum(requests[levels:]),
             run_s=self.run_s,
             memory_run_s=self.memory_run_s,
         )
 
-    def _reading_s(self, priority: int) -> float:
-        """Return the nominal time until all that is as urgent is read."""
-        steps = priority + 1
-        return sum(self._work_by_priority[:steps]) + sum(self._others_work()[:steps])
+    def _queued_prefill_s(self, priority: int) -> float:
+        """Return the nominal time to prefill everything of the same or a higher priority."""
+        levels = priority + 1
+        return sum(self._prefill_by_priority[:levels]) + sum(self._remote_prefill()[:levels])
 
-    def _forget_old(self) -> None:
-        oldest_at = clocks.now_s() - FORGET_S
+    def _expire_old(self) -> None:
+        oldest_at = clocks.now_s() - REQUEST_TTL_S
         while self.by_number:
             number, sent = next(iter(self.by_number.items()))
-            if sent.at > oldest_at:
+            if sent.sent_at > oldest_at:
                 return
             self.end(number)
 
 
 def _sum_rows(rows: list[tuple[int, ...]]) -> list[int]:
-    """Add rows by urgency, each of which may lack zeros at its end."""
-    total = [0] * PRIORITIES
+    """Add rows by priority; rows may omit trailing zeros."""
+    total = [0] * PRIORITY_LEVELS
     for row in rows:
-        for step, value in enumerate(row[:PRIORITIES]):
-            total[step] += value
+        for level, value in enumerate(row[:PRIORITY_LEVELS]):
+            total[level] += value
     return total
 
 
-def _strip_zeros(row: list[int]) -> tuple[int, ...]:
+def _strip_trailing_zeros(row: list[int]) -> tuple[int, ...]:
     end = len(row)
     while end and not row[end - 1]:
         end -= 1
     return tuple(row[:end])
 
 
-def _subtract(told: LoadSum, own: LoadSum) -> LoadSum:
-    """Return the rest of a sum that counted the own requests as well."""
+def _subtract(reported: LoadSum, own: LoadSum) -> LoadSum:
+    """Return a reported sum without this host's own requests, which it includes."""
     return LoadSum(
-        _less(told.work_ms, own.work_ms),
-        _less(told.tokens, own.tokens),
-        _less(told.requests, own.requests),
+        _subtract_row(reported.prefill_ms, own.prefill_ms),
+        _subtract_row(reported.tokens, own.tokens),
+        _subtract_row(reported.requests, own.requests),
     )
 
 
-def _less(row: tuple[int, ...], taken: tuple[int, ...]) -> tuple[int, ...]:
-    padded = (*taken, *(0,) * (len(row) - len(taken)))
-    return tuple(max(0, each - less) for each, less in zip(row, padded, strict=False))
+def _subtract_row(row: tuple[int, ...], subtracted: tuple[int, ...]) -> tuple[int, ...]:
+    padded = (*subtracted, *(0,) * (len(row) - len(subtracted)))
+    return tuple(max(0, each - decrease) for each, decrease in zip(row, padded, strict=False))
 
 
 class EngineMemory:
-    """The parts that an engine probably keeps: those used last, as far as its memory goes."""
+    """The parts an engine probably has cached: the most recently used that fit its memory."""
 
     def __init__(self, capacity_tokens: int) -> None:
         self.capacity_tokens = capacity_tokens
         self._tokens_by_part: OrderedDict[tuple[str, PartId], int] = OrderedDict()
         self._used = 0
 
-    def use(self, salt: str, parts: tuple[Part, ...]) -> None:
-        """Take that a request with these parts was sent to the engine."""
+    def record_use(self, salt: str, parts: tuple[Part, ...]) -> None:
+        """Record that a request with these parts was sent to the engine."""
         for part in parts:
             key = (salt, part.id)
             if key not in self._tokens_by_part:
@@ -285,8 +294,8 @@
             _, tokens = self._tokens_by_part.popitem(last=False)
             self._used -= tokens
 
-    def leading_tokens(self, salt: str, parts: tuple[Part, ...]) -> int:
-        """Return the tokens of the leading parts that the engine probably keeps."""
+    def cached_prefix_tokens(self, salt: str, parts: tuple[Part, ...]) -> int:
+        """Return the tokens of the leading parts that the engine probably has cached."""
         tokens = 0
         for part in parts:
             if (salt, part.id) not in self._tokens_by_part:
@@ -295,6 +304,6 @@
         return tokens
 
     def clear(self) -> None:
-        """Forget everything: new weights drop all that was kept."""
+        """Clear all parts: loading new weights invalidates the cache."""
         self._tokens_by_part.clear()
         self._used = 0
--- a/libs/serving/ruddersaddle_serving/forwarders.py
+++ b/libs/serving/ruddersaddle_serving/forwarders.py
@@ -148,9 +148,9 @@
         """Extend an overload refusal's retry delay until the first backoff in the pool ends."""
         if failure.step is not Step.SEND or failure.code is not Code.OVERLOADED:
             return failure
-        rested_in_s = self.forwarder.placement.rested_in_s(self.pool)
+        backoff_remaining_s = self.forwarder.placement.backoff_remaining_s(self.pool)
         return msgspec.structs.replace(
-            failure, retry_after_s=max(failure.retry_after_s, rested_in_s)
+            failure, retry_after_s=max(failure.retry_after_s, backoff_remaining_s)
         )
 
     def _as_unknown(self, failure: Failure) -> Failure:
@@ -183,7 +183,7 @@
             failure = self.attempt.connect()
             outcome = "no connection"
             if failure is None:
-                failure = forwarder.placement.check_open(choice.tracker)
+                failure = forwarder.placement.check_available(choice.tracker)
                 if failure is None:
                     return self._send()
                 outcome = failure.detail
--- a/libs/serving/ruddersaddle_serving/load_shares.py
+++ b/libs/serving/ruddersaddle_serving/load_shares.py
@@ -1,8 +1,8 @@
-"""How hosts share what they know of requests at engines.
+"""Exchanges the load of engines between hosts.
 
-Few hosts tell one another of each step of each request. Many hosts tell the reader of their hall,
-which sums them up, exchanges sums with the readers of other halls, and tells its hall the totals:
-messages then grow with the hosts, and not with hosts times requests.
+A few hosts send one another each step of each request. Many hosts send them to the reader of their
+hall, which aggregates them, exchanges sums with the readers of other halls, and sends the totals to
+its hall. The number of messages then grows with the hosts, not with hosts times requests.
 """
 
 import itertools
@@ -14,79 +14,80 @@
 
 from ruddersaddle_serving.engine_loads import LoadSum
 from ruddersaddle_serving.hosts import Hosts
-from ruddersaddle_serving.paces import START_S, Pace
+from ruddersaddle_serving.paces import OVERHEAD_S, ServiceTime
 from ruddersaddle_serving.peers import Peers
 from ruddersaddle_serving.self_reports import LimitNews
-from ruddersaddle_serving.silences import Silence
+from ruddersaddle_serving.silences import Liveness
 from ruddersaddle_serving.tasks import spawn_forever
 from ruddersaddle_serving.trackers import Notice, Tracker, Trackers
 from ruddersaddle_serving.upstream_entries import UpstreamInstance
 from ruddersaddle_serving.upstream_lists import UpstreamList
 
 DIRECT_HOSTS_MAX = 12
-"""Up to so many hosts tell one another directly; above, 85 hosts would each get 2,000 messages a
-second (docs/CAPACITY.md)."""
-NOTICES_S = 0.01
-"""Pause between messages about requests at engines. A prompt takes 5 to 200 ms to read, so that
-what others sent has to be known within some ten milliseconds."""
-READER_NOTICES_S = 0.02
-"""The same to the reader of a hall, whose totals are older in any case. A message costs both ends
-about 0.2 ms of processor time, system calls included."""
-SUMS_S = 0.04
-"""Pause between sums that readers tell one another: a message for each two halls."""
-TOTALS_EVERY = 2
-"""Totals go to a hall with each so many sums, 0.08 s apart. By beliefs of 0.25 s hosts send 120
-prompts at once to what looks idle; but a message of 105 engines is 5.4 KB, and decoding and taking
-it 0.17 ms, on each host of a hall (a loop on one machine, system calls not counted)."""
-NEVER_MS = 60_000
-"""Longest time since a sign of life that is told."""
-LOOK_S = 0.5
-"""Pause of a host that sums nothing until it looks again whether it should."""
+"""Up to this many hosts notify one another directly. With 85 hosts, each would receive 2,000
+messages a second."""
+NOTICE_INTERVAL_S = 0.01
+"""Interval of messages with notices. The prefill of a prompt takes 5 to 200 ms, so requests sent by
+others have to be known within about ten milliseconds."""
+READER_NOTICE_INTERVAL_S = 0.02
+"""Interval of notices to the reader of a hall, whose totals are older in any case. A message costs
+sender and receiver about 0.2 ms of CPU time each, including system calls."""
+SUM_INTERVAL_S = 0.04
+"""Interval of the sums that readers send one another: one message for each pair of halls."""
+SUMS_PER_TOTAL = 2
+"""Totals are sent to a hall once per this many sums, every 0.08 s. With a view that is 0.25 s old,
+hosts send 120 prompts at the same moment to an engine that looks idle. More often costs CPU time: a
+message of 105 engines has 5.4 KB, and decoding and applying it takes 0.17 ms on each host of a
+hall, without system calls."""
+RESPONSE_AGE_MAX_MS = 60_000
+"""Longest time since a response that is reported."""
+ROLE_CHECK_INTERVAL_S = 0.5
+"""Interval at which a host that doesn't aggregate checks whether it should."""
 
 
 class Notices(msgspec.Struct, frozen=True, tag="notices"):
-    """Tells how far the sender's requests are at engines; it is not answered."""
+    """Message with steps of the sender's requests at engines; it is not answered."""
 
     address: str
     notices: tuple[Notice, ...]
 
 
 class EngineSum(msgspec.Struct, frozen=True, array_like=True):
-    """What stands at one engine, and about the share of its recent requests that failed."""
+    """Load and health of one engine, with the approximate failure rate of its recent requests."""
 
     upstream: UpstreamId
     load: LoadSum
-    failing_percent: int
+    failure_percent: int
     run_ms: int
     """Mean length of a run from its first event."""
     memory_run_ms: int = 1000
-    """The same weighed by the tokens of runs."""
-    pace_percent: int = 100
-    """What reading takes, as a share of the nominal time."""
-    heard_ms: int = NEVER_MS
-    """How long ago any host heard of it."""
-    silent_ms: int | None = None
-    """For how long it has been silent; None where it is not."""
+    """Mean length of a run weighted by tokens."""
+    prefill_percent: int = 100
+    """Observed prefill time, as a percentage of the nominal time."""
+    response_age_ms: int = RESPONSE_AGE_MAX_MS
+    """Time since any host received something from it."""
+    unresponsive_ms: int | None = None
+    """For how long it has been unresponsive; None if it is not."""
     is_replaced: bool = False
     """Whether another upstream answers at its address."""
     born_ms: int | None = None
-    """Which start of it this is; None where that is not told."""
-    start_ms: float = START_S * 1000
-    """Time that first events take beside reading."""
+    """Identifies its instance; None if it is unknown."""
+    overhead_ms: float = OVERHEAD_S * 1000
+    """Time to a first event beside queueing and prefill."""
     limit: LimitNews | None = None
-    """What is known of the limit that it names."""
+    """Its latest known rate limit."""
 
 
 class LoadSums(msgspec.Struct, frozen=True, tag="load_sums"):
-    """Tells what stands at engines: of the sender's hall, or everything where it is a total."""
+    """Message with the load of engines: by the sender's hall, or by all halls if it is a total."""
 
     address: str
     is_total: bool
     sums: tuple[EngineSum, ...]
 
 
-class LoadShares:
-    """Tells and takes requests at engines."""
+class LoadExchange:
+    """Sends this host's load reports and applies those of other hosts."""
 
     def __init__(
         self, hosts: Hosts, peers: Peers, trackers: Trackers, upstreams: UpstreamList
@@ -99,30 +100,34 @@
         self._is_scheduled = False
 
     def start(self) -> None:
-        """Start the task that tells totals; notices are told when there are some."""
-        spawn_forever("totals", self._tell_totals)
+        """Start the task that sends sums and totals; notices are sent as they come up."""
+        spawn_forever("totals", self._send_totals)
 
     @property
     def is_direct(self) -> bool:
-        """Whether hosts are few enough to tell one another of each request."""
+        """Whether there are few enough hosts to notify one another of each request."""
         return self.hosts.count <= DIRECT_HOSTS_MAX
 
     @property
     def lag_s(self) -> float:
-        """How much older than direct notices the knowledge of others' requests is, in seconds."""
-        return 0.0 if self.is_direct else READER_NOTICES_S + (1 + TOTALS_EVERY) * SUMS_S
-
-    def tell(self, notice: Notice) -> None:
-        """Take a step of an own request, and tell it with the next message."""
-        self._take_notice(self.hosts.own.address, notice)
+        """How much older than direct notices the view of others' requests is, in seconds."""
+        return (
+            0.0
+            if self.is_direct
+            else READER_NOTICE_INTERVAL_S + (1 + SUMS_PER_TOTAL) * SUM_INTERVAL_S
+        )
+
+    def broadcast(self, notice: Notice) -> None:
+        """Apply a step of an own request, and send it with the next message."""
+        self._apply_notice(self.hosts.own.address, notice)
         self._unsent.append(notice)
         if not self._is_scheduled:
             self._is_scheduled = True
-            pause_s = NOTICES_S if self.is_direct else READER_NOTICES_S
-            eventlet.spawn_after(pause_s, self.tell_notices)
+            pause_s = NOTICE_INTERVAL_S if self.is_direct else READER_NOTICE_INTERVAL_S
+            eventlet.spawn_after(pause_s, self.send_notices)
 
-    def tell_notices(self) -> None:
-        """Tell what has not been told yet."""
+    def send_notices(self) -> None:
+        """Send the notices that are pending."""
         self._is_scheduled = False
         if not self._unsent:
             return
@@ -131,39 +136,39 @@
         targets = self.hosts.addresses() if self.is_direct else [self.hosts.hall_reader()]
         self.peers.broadcast([each for each in targets if not self._is_own(each)], message)
 
-    def take_notices(self, message: Notices) -> None:
-        """Take the steps of another host's requests."""
+    def apply_notices(self, message: Notices) -> None:
+        """Apply the steps of another host's requests."""
         for notice in message.notices:
-            self._take_notice(message.address, notice)
+            self._apply_notice(message.address, notice)
 
-    def _take_notice(self, host: str, notice: Notice) -> None:
+    def _apply_notice(self, host: str, notice: Notice) -> None:
         tracker = self.trackers.by_id.get(notice.upstream)
         if tracker is not None:
-            tracker.take_notice(host, notice)
+            tracker.apply_notice(host, notice)
         if notice.leave is not None:
-            start = UpstreamInstance(notice.upstream, notice.born_ms)
-            self.upstreams.record_leaving(start, notice.leave.request, host)
+            instance = UpstreamInstance(notice.upstream, notice.born_ms)
+            self.upstreams.record_leaving(instance, notice.leave.request, host)
 
     @property
-    def is_summing(self) -> bool:
-        """Whether this host sums up the requests of its hall."""
+    def is_aggregating(self) -> bool:
+        """Whether this host aggregates the requests of its hall."""
         return not self.is_direct and self._is_own(self.hosts.hall_reader())
 
-    def _tell_totals(self) -> None:
+    def _send_totals(self) -> None:
         for turn in itertools.count():
-            if not self.is_summing:
-                eventlet.sleep(LOOK_S)
+            if not self.is_aggregating:
+                eventlet.sleep(ROLE_CHECK_INTERVAL_S)
                 continue
-            self.tell_sums(False)
-            if turn % TOTALS_EVERY == 0:
-                self.tell_sums(True)
-            eventlet.sleep(SUMS_S)
+            self.send_sums(False)
+            if turn % SUMS_PER_TOTAL == 0:
+                self.send_sums(True)
+            eventlet.sleep(SUM_INTERVAL_S)
 
     def _is_own(self, address: str) -> bool:
         return address == self.hosts.own.address
 
-    def tell_sums(self, is_total: bool) -> None:
-        """Tell other readers the sums of this hall, or this hall the totals."""
+    def send_sums(self, is_total: bool) -> None:
+        """Send the sums of this hall to the other readers, or the totals to this hall."""
         message = LoadSums(self.hosts.own.address, is_total, self._sums(is_total))
         targets = self.hosts.hall_addresses() if is_total else self._other_readers()
         self.peers.broadcast(targets, message)
@@ -175,52 +180,58 @@
 
     def _sums(self, is_total: bool) -> tuple[EngineSum, ...]:
         now = clocks.now_s()
-        return tuple(_sum_of(each, is_total, now) for each in self.trackers.by_id.values())
+        return tuple(_summarize(each, is_total, now) for each in self.trackers.by_id.values())
 
-    def take_sums(self, message: LoadSums) -> None:
-        """Take another reader's sums, or the totals of this hall's reader."""
+    def apply_sums(self, message: LoadSums) -> None:
+        """Apply the sums of another reader, or the totals of this hall's reader."""
         source = "hall" if message.is_total else message.address
-        for told in message.sums:
-            tracker = self.trackers.by_id.get(told.upstream)
-            if tracker is not None and tracker.entry.born_ms == told.born_ms:
-                tracker.load.take_sum(source, told.load, message.is_total)
-                tracker.note_told_failing(told.failing_percent / 100)
-                _take_silence(tracker.silence, source, told)
-                if told.is_replaced:
-                    tracker.note_replaced()
-                tracker.take_limit(told.limit, message.address, is_first_hand=False)
+        for reported in message.sums:
+            tracker = self.trackers.by_id.get(reported.upstream)
+            if tracker is not None and tracker.entry.born_ms == reported.born_ms:
+                tracker.load.apply_sum(source, reported.load, message.is_total)
+                tracker.apply_failure_rate(reported.failure_percent / 100)
+                _apply_liveness(tracker.liveness, source, reported)
+                if reported.is_replaced:
+                    tracker.record_replaced()
+                tracker.apply_limit(reported.limit, message.address, is_first_hand=False)
                 if message.is_total:
-                    tracker.load.run_s = told.run_ms / 1000
-                    tracker.load.memory_run_s = told.memory_run_ms / 1000
-                    tracker.load.pace = Pace(told.pace_percent / 100, told.start_ms / 1000)
-
-
-def _sum_of(tracker: Tracker, is_total: bool, now: float) -> EngineSum:
-    """Return what stands at one engine: of this hall, or of all halls where it is a total."""
-    silence = tracker.silence
-    silent_since = silence.since(now) if is_total else silence.own_since(now)
+                    tracker.load.run_s = reported.run_ms / 1000
+                    tracker.load.memory_run_s = reported.memory_run_ms / 1000
+                    tracker.load.service_time = ServiceTime(
+                        reported.prefill_percent / 100, reported.overhead_ms / 1000
+                    )
+
+
+def _summarize(tracker: Tracker, is_total: bool, now: float) -> EngineSum:
+    """Return the load and health of one engine: by this hall, or by all halls for a total."""
+    liveness = tracker.liveness
+    unresponsive_since = (
+        liveness.unresponsive_since(now) if is_total else liveness.observed_unresponsive_since(now)
+    )
     return EngineSum(
         upstream=tracker.id,
         load=tracker.load.total_sum() if is_total else tracker.load.own_sum(),
-        failing_percent=round(
-            100 * (tracker.failing_share if is_total else tracker.observed_failing)
+        failure_percent=round(
+            100 * (tracker.failure_rate if is_total else tracker.observed_failure_rate)
         ),
         run_ms=round(1000 * tracker.load.run_s),
         memory_run_ms=round(1000 * tracker.load.memory_run_s),
-        pace_percent=round(100 * tracker.load.pace.factor),
-        heard_ms=round(min(NEVER_MS, 1000 * (now - silence.heard_at))),
-        silent_ms=None if silent_since is None else round(1000 * (now - silent_since)),
+        prefill_percent=round(100 * tracker.load.service_time.factor),
+        response_age_ms=round(min(RESPONSE_AGE_MAX_MS, 1000 * (now - liveness.last_response_at))),
+        unresponsive_ms=None
+        if unresponsive_since is None
+        else round(1000 * (now - unresponsive_since)),
         is_replaced=tracker.is_replaced,
         born_ms=tracker.entry.born_ms,
-        start_ms=round(1000 * tracker.load.pace.start_s),
+        overhead_ms=round(1000 * tracker.load.service_time.overhead_s),
         limit=tracker.reported.rate_limit.news(),
     )
 
 
-def _take_silence(silence: Silence, source: str, told: EngineSum) -> None:
-    """Take when others last heard of an upstream, and since when they find it silent."""
+def _apply_liveness(liveness: Liveness, source: str, reported: EngineSum) -> None:
+    """Apply when others last received something, and since when they see it as unresponsive."""
     now = clocks.now_s()
-    if told.heard_ms < NEVER_MS:
-        silence.note_heard(now - told.heard_ms / 1000)
-    since = None if told.silent_ms is None else now - told.silent_ms / 1000
-    silence.note_told(source, since, now)
+    if reported.response_age_ms < RESPONSE_AGE_MAX_MS:
+        liveness.record_response(now - reported.response_age_ms / 1000)
+    since = None if reported.unresponsive_ms is None else now - reported.unresponsive_ms / 1000
+    liveness.apply_report(source, since, now)
--- a/libs/serving/ruddersaddle_serving/tests/test_attempts.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_attempts.py
@@ -28,7 +28,7 @@
         self.attempt = Attempt(request, choice, mock.Mock(), None, self.apply_notice)
 
     def apply_notice(self, notice: Notice) -> None:
-        self.tracker.take_notice("own", notice)
+        self.tracker.apply_notice("own", notice)
 
     def test_request_counts_before_it_is_connected(self) -> None:
         """When it did not, seven concurrent requests went to one engine after a restart."""
