--- a/libs/serving/ruddersaddle_serving/store_followers.py
+++ b/libs/serving/ruddersaddle_serving/store_followers.py
@@ -270,7 +270,7 @@
     def apply(self, page: Page, complete: bool, asked_at: float) -> bool:
         """Apply records, then confirm them as of the request."""
         for record in page.records:
-            self.shares.take_record(record)
+            self.shares.apply_record(record)
         if complete:
             self.shares.write_missing()
         self.shares.confirm(asked_at)
@@ -283,4 +283,4 @@
 
     def record_restore(self) -> None:
         """Record the restore: records written since the copy are lost."""
-        self.shares.note_return()
+        self.shares.record_restore()
--- a/libs/state/ruddersaddle_state/followers.py
+++ b/libs/state/ruddersaddle_state/followers.py
@@ -1,4 +1,4 @@
-"""A task for each stream that reads the log, folds it, and wakes whoever waits for a record."""
+"""A task for each stream that reads the log, folds its records, and wakes tasks waiting for one."""
 
 import logging
 import time
@@ -10,30 +10,30 @@
 from ruddersaddle_base.ids import Position, RecordId, join_position, split_offset
 
 from ruddersaddle_state.log_clients import LogClient
-from ruddersaddle_state.records import Fate, Placed, Stream
+from ruddersaddle_state.records import PositionedRecord, RecordResult, Stream
 
 logger = logging.getLogger(__name__)
 
 READ_WAIT_S = 1.0
-"""Longest wait of one read for something new, in seconds."""
+"""Longest wait of one read for new records, in seconds."""
 RETRY_S = 0.2
-"""Pause after a read that failed, in seconds."""
+"""Pause after a failed read, in seconds."""
 
 
 class Fold(Protocol):
-    """What a follower needs of a fold."""
+    """What a follower requires of a fold."""
 
     position: Position
 
     def begin(self, first: Position, gap: bool) -> None:
-        """Start reading at `first`; a gap means that records before it are gone."""
+        """Start reading at `first`; a gap means that earlier records are no longer in the log."""
 
-    def apply(self, placed: Placed) -> Fate:
+    def apply(self, positioned: PositionedRecord) -> RecordResult:
         """Fold one record."""
 
 
 class Follower:
-    """Follows one stream; `reached_end` tells whether all that stood at the start was read."""
+    """Follows one stream; `reached_end` is set once it has caught up with the log."""
 
     def __init__(self, client: LogClient, stream: Stream, fold: Fold) -> None:
         self.client = client
@@ -61,23 +61,23 @@
         start = max(self.next_offset, split_offset(self.fold.position) + 1)
         page = self.client.read(self.stream, start, wait_s)
         if isinstance(page, Failure):
-            self._lose(page)
+            self._mark_unreachable(page)
             return False
         gap = page.first > start
         if gap or not self.begun:
             self.fold.begin(join_position(max(page.first, start), 0), gap)
             self.begun = True
-        for placed in page.placed:
-            self._fold(placed)
+        for positioned in page.records:
+            self._fold(positioned)
         self.next_offset = max(self.next_offset, page.next)
         self.read_at = time.monotonic()
         self.reachable = True
-        if not page.placed:
+        if not page.records:
             self.reached_end = True
         return True
 
     def read_to_end(self) -> bool:
-        """Read until the log has nothing newer; return whether it answered every time."""
+        """Read until the log has nothing newer; return whether all reads succeeded."""
         before = -1
         while before != self.next_offset:
             before = self.next_offset
@@ -85,23 +85,23 @@
                 return False
         return True
 
-    def _lose(self, failure: Failure) -> None:
+    def _mark_unreachable(self, failure: Failure) -> None:
         if self.reachable:
             logger.warning("Stream %s is unreachable. %s", self.stream.value, failure.detail)
         self.reachable = False
 
-    def _fold(self, placed: Placed) -> None:
-        fate = self.fold.apply(placed)
-        signal = self._signal_by_id.get(placed.record.id)
+    def _fold(self, positioned: PositionedRecord) -> None:
+        result = self.fold.apply(positioned)
+        signal = self._signal_by_id.get(positioned.record.id)
         if signal is not None and not signal.ready():
-            signal.send(fate)
+            signal.send(result)
 
     def expect(self, record: RecordId) -> None:
-        """Get ready to wait for a record; call before appending it."""
+        """Prepare to wait for a record; call this before appending it."""
         self._signal_by_id[record] = Signal()
 
-    def wait(self, record: RecordId, timeout_s: float) -> Fate | None:
-        """Wait for an expected record's fate; None if it was not read in time."""
+    def wait(self, record: RecordId, timeout_s: float) -> RecordResult | None:
+        """Wait for the result of an expected record; None if it was not read in time."""
         signal = self._signal_by_id.get(record)
         if signal is None:
             return None
@@ -109,8 +109,8 @@
             return signal.wait()
         return None
 
-    def give_up(self, record: RecordId) -> None:
-        """Wake whoever waits for a record that can't have landed."""
+    def cancel_wait(self, record: RecordId) -> None:
+        """Wake tasks waiting for a record that cannot have been appended."""
         signal = self._signal_by_id.get(record)
         if signal is not None and not signal.ready():
             signal.send(None)
