--- a/libs/serving/ruddersaddle_serving/entry_hosts.py
+++ b/libs/serving/ruddersaddle_serving/entry_hosts.py
@@ -18,6 +18,7 @@
 from ruddersaddle_base.settings import Settings
 from ruddersaddle_routing.retries import RetryBudget
 
+from ruddersaddle_serving.cached_parts import CachedParts
 from ruddersaddle_serving.caller_listeners import ResilientListener, connection_limit
 from ruddersaddle_serving.caller_pools import CallerPool
 from ruddersaddle_serving.caller_protocols import HEAD_BYTES_MAX, CallerProtocol
@@ -28,7 +29,6 @@
 from ruddersaddle_serving.fronts import Front
 from ruddersaddle_serving.garbage_collections import start_collecting
 from ruddersaddle_serving.hosts import HostRecord, Hosts
-from ruddersaddle_serving.kept_parts import KeptParts
 from ruddersaddle_serving.metric_pages import (
     TEXT_TYPE,
     format_counters,
@@ -61,7 +61,7 @@
 from ruddersaddle_serving.tasks import spawn_forever
 from ruddersaddle_serving.trackers import Notice, Trackers
 from ruddersaddle_serving.upstream_lists import UpstreamList
-from ruddersaddle_serving.upstream_shares import UpstreamShares
+from ruddersaddle_serving.upstream_quotas import UpstreamQuotas
 from ruddersaddle_serving.weight_rollouts import WeightRollouts
 
 logger = logging.getLogger(__name__)
@@ -120,10 +120,10 @@
         self.upstream_follower = UpstreamFollower(store, self.store_link, self.upstreams)
         self.trackers = Trackers()
         self.hosts = self._make_hosts(settings)
-        self.quotas = UpstreamShares(self.hosts, self.publications, self.upstreams)
-        self.cached_parts = KeptParts(engines)
+        self.quotas = UpstreamQuotas(self.hosts, self.publications, self.upstreams)
+        self.cached_parts = CachedParts(engines)
         self.retry_budget = RetryBudget(settings.number("bounds.retry_share") * RETRY_BUDGET_SHARE)
-        self.publications.listeners += [self.trackers.apply_table, self.cached_parts.take_table]
+        self.publications.listeners += [self.trackers.apply_table, self.cached_parts.apply_table]
         self.crash_records = CrashRecords()
         self.crash_watch = CrashWatch(
             engines,
@@ -309,7 +309,7 @@
             self.trackers.keep_only(set(self.upstreams.by_id))
             self.trackers.close_expired()
             slack = self.settings.number("bounds.retry_slack") * RETRY_BUDGET_SHARE
-            self.retry_budget.most = max(1.0, slack / self.neighbours.hosts.count)
+            self.retry_budget.balance_max = max(1.0, slack / self.neighbours.hosts.count)
             slept_at = clocks.now_s()
             eventlet.sleep(MAINTENANCE_INTERVAL_S)
             self.stall_monitor.check(slept_at, MAINTENANCE_INTERVAL_S)
@@ -413,13 +413,13 @@
         return max(0, publications.version - publications.stored_version)
 
     def _backing_off_count(self) -> int:
-        return sum(each.reported.rest_s > 0 for each in self.trackers.by_id.values())
+        return sum(each.reported.backoff_s > 0 for each in self.trackers.by_id.values())
 
     def _leaving_count(self) -> int:
         return sum(each.leaving for each in self.upstreams.by_id.values())
 
     def _limited_count(self) -> int:
-        return sum(each.reported.rate_limit.is_named for each in self.trackers.by_id.values())
+        return sum(each.reported.rate_limit.is_advertised for each in self.trackers.by_id.values())
 
     def _unresponsive_count(self) -> int:
         return sum(each.is_unresponsive for each in self.trackers.by_id.values())
--- a/libs/serving/ruddersaddle_serving/forwarders.py
+++ b/libs/serving/ruddersaddle_serving/forwarders.py
@@ -133,9 +133,9 @@
         self.pool = self.forwarder.placement.pick_pool(self.request.route)
         if self.pool is None:
             return Failure(Code.NO_UPSTREAM, Step.ADMIT, self.request.route.name, "no target")
-        self.forwarder.budget.note_first()
+        self.forwarder.budget.record_first_attempt()
         while True:
-            result = self._attempt_once(self.request.head.last_event)
+            result = self._attempt_once(self.request.head.last_event_id)
             if not isinstance(result, Failure):
                 return result
             self._may_have_run = self._may_have_run or result.ran is not Ran.NOT_RUN
@@ -222,7 +222,7 @@
         tracker = self.attempt.choice.tracker
         upstream = tracker.id
         self._excluded.add(upstream)
-        self.forwarder.placement.shares.note_sent(tracker)
+        self.forwarder.placement.quotas.record_sent(tracker)
         head = self.attempt.open()
         if isinstance(head, Failure):
             refused = head.ran is Ran.NOT_RUN
@@ -265,7 +265,7 @@
         failure = Failure(Code.UPSTREAM_FAILED, Step.READ, self.trace.upstream, "", Ran.RAN)
         if not self._may_retry(failure):
             return None
-        result = self._attempt_once(self.request.head.last_event)
+        result = self._attempt_once(self.request.head.last_event_id)
         return None if isinstance(result, Failure) else result
 
     def _await_first(self, head: AnswerHead) -> AnswerHead | Failure:
@@ -287,7 +287,7 @@
 
     def _record_first(self) -> None:
         if self.trace.first_s is None:
-            self.trace.first_s = clocks.now_s() - self.request.began
+            self.trace.first_s = clocks.now_s() - self.request.started_at
 
     def events(self) -> Iterator[bytes | Failure]:
         """Yield complete events as they arrive; a failure, if any, comes last."""
@@ -343,7 +343,7 @@
             return False
         if self.request.remaining_s < REMAINING_MIN_S:
             return False
-        return self.forwarder.budget.take()
+        return self.forwarder.budget.try_spend()
 
     def _end_attempt(self, failed: bool | None, outcome: str) -> None:
         self.trace.attempts.append(outcome)
--- a/libs/serving/ruddersaddle_serving/load_shares.py
+++ b/libs/serving/ruddersaddle_serving/load_shares.py
@@ -16,7 +16,7 @@
 from ruddersaddle_serving.hosts import Hosts
 from ruddersaddle_serving.paces import OVERHEAD_S, ServiceTime
 from ruddersaddle_serving.peers import Peers
-from ruddersaddle_serving.self_reports import LimitNews
+from ruddersaddle_serving.self_reports import LimitUpdate
 from ruddersaddle_serving.silences import Liveness
 from ruddersaddle_serving.tasks import spawn_forever
 from ruddersaddle_serving.trackers import Notice, Tracker, Trackers
@@ -74,7 +74,7 @@
     """Identifies its instance; None if it is unknown."""
     overhead_ms: float = OVERHEAD_S * 1000
     """Time to a first event beside queueing and prefill."""
-    limit: LimitNews | None = None
+    limit: LimitUpdate | None = None
     """Its latest known rate limit."""
 
 
@@ -224,7 +224,7 @@
         is_replaced=tracker.is_replaced,
         born_ms=tracker.entry.born_ms,
         overhead_ms=round(1000 * tracker.load.service_time.overhead_s),
-        limit=tracker.reported.rate_limit.news(),
+        limit=tracker.reported.rate_limit.latest_update(),
     )
 
 
--- a/libs/serving/ruddersaddle_serving/neighbours.py
+++ b/libs/serving/ruddersaddle_serving/neighbours.py
@@ -10,11 +10,11 @@
 from ruddersaddle_base.ids import HallId, StoreId
 from ruddersaddle_routing.rendezvous import rank_names
 
+from ruddersaddle_serving.cached_parts import CachedParts
 from ruddersaddle_serving.crash_records import CrashRecords
 from ruddersaddle_serving.crash_shares import CRASH_RECORDS_MAX, CrashShares, CrashUpdate
 from ruddersaddle_serving.host_lists import HostList
 from ruddersaddle_serving.hosts import Hosts
-from ruddersaddle_serving.kept_parts import KeptParts
 from ruddersaddle_serving.load_shares import LoadExchange, LoadSums, Notices
 from ruddersaddle_serving.neighbour_messages import (
     Ack,
@@ -26,7 +26,7 @@
     StateRequest,
     StateUpdate,
 )
-from ruddersaddle_serving.part_news import AskParts, StoreLost, tell_parts
+from ruddersaddle_serving.part_updates import PartsRequest, StoreLost, reply_parts
 from ruddersaddle_serving.peers import Peers
 from ruddersaddle_serving.ports import (
     MetadataStore,
@@ -74,7 +74,7 @@
         publications: Publications,
         upstreams: UpstreamList,
         trackers: Trackers,
-        kept: KeptParts,
+        cached_parts: CachedParts,
         crashes: CrashRecords,
     ) -> None:
         self.hosts = hosts
@@ -83,7 +83,7 @@
         self.publications = publications
         self.upstreams = upstreams
         self.trackers = trackers
-        self.kept = kept
+        self.cached_parts = cached_parts
         self.peers = Peers(self.address, self._handle, NeighbourMessage)
         self.host_list = HostList(hosts, store)
         self.host_list.listeners.append(lambda: self.peers.keep_only(set(hosts.addresses())))
@@ -232,7 +232,7 @@
             self.host_list.apply(update.hosts, update.hosts_position)
         self._apply_crashes(update, asked_at)
         # Cold instances are applied before the entries, so that none of these counts as warm.
-        self.upstreams.cold.take_all(update.cold)
+        self.upstreams.cold.apply_all(update.cold)
         self.upstreams.apply_leaving(update.leaving)
         entries_at = asked_at - update.entries_age_s
         if entries_at <= self.upstreams.confirmed_at:
@@ -272,8 +272,8 @@
                 self.loads.apply_sums(message)
             case CrashUpdate():
                 self.crashes.apply_update(message)
-            case AskParts():
-                return tell_parts(self.kept, message)
+            case PartsRequest():
+                return reply_parts(self.cached_parts, message)
             case StoreLost():
                 self._handle_store_lost(message)
         return Ack()
@@ -340,9 +340,9 @@
             self.peers.broadcast(self.hosts.hall_addresses(), StoreLost(store))
 
     def _handle_store_lost(self, message: StoreLost) -> None:
-        kept = self.kept.by_id.get(message.store)
-        if kept is not None:
-            kept.note_lost()
+        store = self.cached_parts.by_id.get(message.store)
+        if store is not None:
+            store.record_lost()
 
     # Engines that load weights
 
--- a/libs/serving/ruddersaddle_serving/placements.py
+++ b/libs/serving/ruddersaddle_serving/placements.py
@@ -9,7 +9,7 @@
 from ruddersaddle_base.ids import HallId, ModelId, PoolId, UpstreamId
 from ruddersaddle_routing.rendezvous import rank_names
 
-from ruddersaddle_serving.kept_parts import KeptParts
+from ruddersaddle_serving.cached_parts import CachedParts
 from ruddersaddle_serving.ports import Transfer
 from ruddersaddle_serving.prompts import CallerRequest, Prompt
 from ruddersaddle_serving.publications import Publications
@@ -17,7 +17,7 @@
 from ruddersaddle_serving.routes import Route
 from ruddersaddle_serving.trackers import Assignment, Tracker, Trackers
 from ruddersaddle_serving.upstream_lists import UpstreamList
-from ruddersaddle_serving.upstream_shares import UpstreamShares
+from ruddersaddle_serving.upstream_quotas import UpstreamQuotas
 from ruddersaddle_serving.weighings import CostEstimator, Estimate
 
 CANDIDATES_MAX = 8
@@ -84,16 +84,16 @@
         publications: Publications,
         upstreams: UpstreamList,
         trackers: Trackers,
-        kept: KeptParts,
-        shares: UpstreamShares,
+        cached_parts: CachedParts,
+        quotas: UpstreamQuotas,
     ) -> None:
         self.hall = hall
         self.version_bound_s = version_bound_s
         self.publications = publications
         self.upstreams = upstreams
         self.trackers = trackers
-        self.kept = kept
-        self.shares = shares
+        self.cached_parts = cached_parts
+        self.quotas = quotas
         self.view_lag_s: Callable[[], float] = lambda: 0.0
         """Age of this host's view of others' requests, in seconds."""
         self.admitted_sizes = SizesByRoute()
@@ -153,13 +153,13 @@
 
     def _is_available(self, tracker: Tracker) -> bool:
         """Return whether this host may send a request to an upstream at the moment."""
-        return tracker.reported.rest_s <= 0 and self.shares.may_send(tracker)
+        return tracker.reported.backoff_s <= 0 and self.quotas.may_send(tracker)
 
     def _refuse_unavailable(
         self, pool: PoolId, trackers: list[Tracker], untried: list[Tracker]
     ) -> Failure:
         """Refuse, because none of the `untried` upstreams is available."""
-        ready = [tracker for tracker in untried if tracker.reported.rest_s <= 0]
+        ready = [tracker for tracker in untried if tracker.reported.backoff_s <= 0]
         limited = sum(tracker.reported.rate_limit.bound_per_s() is not None for tracker in ready)
         counts = {
             "upstreams": len(trackers),
@@ -190,9 +190,9 @@
             detail = "since it was chosen, it reported that it leaves"
         elif self.publications.evacuations.is_in_force(hall):
             detail = f"since it was chosen, hall {hall} was evacuated"
-        elif tracker.reported.rest_s > 0:
+        elif tracker.reported.backoff_s > 0:
             detail = "since it was chosen, it asked for a backoff"
-        elif not self.shares.may_send(tracker):
+        elif not self.quotas.may_send(tracker):
             detail = "it is cold or limited, and this host's quota was used up since it was chosen"
         else:
             return None
@@ -268,7 +268,7 @@
     def _choose_engine(
         self, request: CallerRequest, prompt: Prompt, candidates: Candidates, may_refuse: bool
     ) -> Choice | Failure:
-        estimator = CostEstimator(request, prompt, self.kept)
+        estimator = CostEstimator(request, prompt, self.cached_parts)
         margin_s = min(self.view_lag_s(), TIE_SHARE * request.route.target_latency_s)
         best = estimator.pick_earliest(candidates.first, margin_s)
         if self._admission_excess_s(request, best) > 0:
@@ -279,7 +279,7 @@
             self.admitted_sizes.record(request.route.name, best.tokens)
         hall = best.tracker.entry.hall
         is_newest = not self.publications.replaced_at_least_s(prompt.model, best.version or 0)
-        transfer = self.kept.plan(
+        transfer = self.cached_parts.plan(
             best.salt,
             prompt,
             estimator.holders_by_salt[best.salt],
@@ -365,8 +365,8 @@
 
     Jitter spreads out the retries, so that the upstream isn't overloaded when it is back.
     """
-    rest_s = min((tracker.reported.rest_s for tracker in trackers), default=0.0)
-    return rest_s + RETRY_SOON_S * random.random() if rest_s > 0 else 0.0
+    backoff_s = min((tracker.reported.backoff_s for tracker in trackers), default=0.0)
+    return backoff_s + RETRY_SOON_S * random.random() if backoff_s > 0 else 0.0
 
 
 def _may_fit(prompt: Prompt, tracker: Tracker) -> bool:
--- a/libs/serving/ruddersaddle_serving/ports.py
+++ b/libs/serving/ruddersaddle_serving/ports.py
@@ -13,8 +13,8 @@
 
 from ruddersaddle_serving.evacuations import Evacuation
 from ruddersaddle_serving.prompts import CallerHead, CallerRequest, Headers, PartId
-from ruddersaddle_serving.routes import ContextStore, Published
-from ruddersaddle_serving.self_reports import SILENT_REPORT, SelfReport
+from ruddersaddle_serving.routes import ContextStore, PublishedConfiguration
+from ruddersaddle_serving.self_reports import EMPTY_REPORT, SelfReport
 from ruddersaddle_serving.store_eras import StoreEras
 from ruddersaddle_serving.upstream_entries import UpstreamEntry, UpstreamInstance
 
@@ -69,7 +69,7 @@
     version: int
 
 
-OperatorPublication = Published | ModelVersion | Evacuation
+OperatorPublication = PublishedConfiguration | ModelVersion | Evacuation
 """What operators publish."""
 
 
@@ -161,7 +161,7 @@
     encoded: bool
     headers: Headers
     """Headers that are forwarded to the caller unchanged."""
-    report: SelfReport = SILENT_REPORT
+    report: SelfReport = EMPTY_REPORT
 
 
 class Wire(Protocol):
--- a/libs/serving/ruddersaddle_serving/publications.py
+++ b/libs/serving/ruddersaddle_serving/publications.py
@@ -9,7 +9,7 @@
 
 from ruddersaddle_serving.evacuations import Evacuations
 from ruddersaddle_serving.ports import TOPIC_START, ModelVersion, StorePosition
-from ruddersaddle_serving.routes import Published, RouteTable
+from ruddersaddle_serving.routes import PublishedConfiguration, RouteTable
 
 logger = logging.getLogger(__name__)
 
@@ -83,15 +83,15 @@
         """Whether this host has just started and is still asking other hosts what is in force."""
         return clocks.now_s() < self.settling_until
 
-    def apply(self, item: Published | ModelVersion) -> None:
+    def apply(self, item: PublishedConfiguration | ModelVersion) -> None:
         """Apply a published item if it is newer than the known one."""
         match item:
-            case Published():
+            case PublishedConfiguration():
                 self._apply_configuration(item)
             case ModelVersion():
                 self._apply_version(item)
 
-    def _apply_configuration(self, published: Published) -> None:
+    def _apply_configuration(self, published: PublishedConfiguration) -> None:
         if published.version <= self.version:
             return
         logger.info("Configuration %d is in force, after %d.", published.version, self.version)
--- a/libs/serving/ruddersaddle_serving/store_followers.py
+++ b/libs/serving/ruddersaddle_serving/store_followers.py
@@ -20,7 +20,7 @@
     Topic,
 )
 from ruddersaddle_serving.publications import Publications
-from ruddersaddle_serving.routes import Published
+from ruddersaddle_serving.routes import PublishedConfiguration
 from ruddersaddle_serving.upstream_entries import UpstreamEntry
 from ruddersaddle_serving.upstream_lists import UpstreamList
 
@@ -160,7 +160,7 @@
                     )
                 case Evacuation():
                     evacuations.append(item)
-                case Published() | ModelVersion():
+                case PublishedConfiguration() | ModelVersion():
                     self.publications.apply(item)
                     self._record_stored_version(item)
         self._apply_evacuations(evacuations, complete, page.end)
@@ -178,11 +178,14 @@
             publications.evacuations.replace(halls, publications.is_of_later_era(end))
             return
         for each in evacuations:
-            publications.evacuations.take(each)
+            publications.evacuations.apply(each)
 
-    def _record_stored_version(self, item: Published | ModelVersion) -> None:
+    def _record_stored_version(self, item: PublishedConfiguration | ModelVersion) -> None:
         """Log once if the store has an older configuration than the one in force."""
-        if not isinstance(item, Published) or item.version == self.publications.stored_version:
+        if (
+            not isinstance(item, PublishedConfiguration)
+            or item.version == self.publications.stored_version
+        ):
             return
         self.publications.stored_version = item.version
         known = self.publications.version
--- a/libs/serving/ruddersaddle_serving/tests/crash_replays.py
+++ b/libs/serving/ruddersaddle_serving/tests/crash_replays.py
@@ -11,7 +11,7 @@
 from ruddersaddle_base import clocks
 
 from ruddersaddle_serving.placements import RETRY_SOON_S, Choice
-from ruddersaddle_serving.routes import Pool, Published
+from ruddersaddle_serving.routes import Pool, PublishedConfiguration
 from ruddersaddle_serving.tests.load_replays import (
     POOL,
     Replay,
@@ -23,7 +23,7 @@
 from ruddersaddle_serving.tests.replay_loads import Load
 from ruddersaddle_serving.trackers import Progress, Reachability
 from ruddersaddle_serving.upstream_entries import Heartbeat, UpstreamEntry
-from ruddersaddle_serving.upstream_shares import JOIN_S
+from ruddersaddle_serving.upstream_quotas import JOIN_GRACE_S
 
 REFUSED_S = 0.002
 """Time until a connection is refused, or another instance answers that it is not the target."""
@@ -171,10 +171,12 @@
     def _build(self) -> None:
         super()._build()
         crashes = self.crashes
-        published = Published(1, pools=(Pool(POOL, None, crashes.cold_s, crashes.cold_per_s),))
+        published = PublishedConfiguration(
+            1, pools=(Pool(POOL, None, crashes.cold_s, crashes.cold_per_s),)
+        )
         for host in self.hosts:
             host.placement.publications.apply(published)
-            host.exchange.hosts.known_at = self.now - JOIN_S
+            host.exchange.hosts.known_at = self.now - JOIN_GRACE_S
         engines = list(self.engine_by_id.values())
         for moment in crashes.moments:
             for engine in self.rng.sample(engines, round(crashes.share * len(engines))):
--- a/libs/serving/ruddersaddle_serving/tests/load_replays.py
+++ b/libs/serving/ruddersaddle_serving/tests/load_replays.py
@@ -17,9 +17,9 @@
 from ruddersaddle_base.failures import Failure
 from ruddersaddle_base.ids import HallId, HostId, ModelId, PoolId, RequestId, UpstreamId
 
+from ruddersaddle_serving.cached_parts import CachedParts
 from ruddersaddle_serving.forwarders import CONNECT_ATTEMPTS_MAX
 from ruddersaddle_serving.hosts import HostRecord, Hosts
-from ruddersaddle_serving.kept_parts import KeptParts
 from ruddersaddle_serving.load_shares import (
     READER_NOTICE_INTERVAL_S,
     SUM_INTERVAL_S,
@@ -45,7 +45,7 @@
 from ruddersaddle_serving.upstream_connections import CONNECT_TIMEOUT_S, IDLE_TIMEOUT_S
 from ruddersaddle_serving.upstream_entries import UpstreamEntry
 from ruddersaddle_serving.upstream_lists import UpstreamList
-from ruddersaddle_serving.upstream_shares import UpstreamShares
+from ruddersaddle_serving.upstream_quotas import UpstreamQuotas
 
 POOL = PoolId("p")
 MODEL = ModelId("m")
@@ -184,10 +184,12 @@
             tracker.memory.capacity_tokens = replay.load.memory_tokens
             tracker.connections = ReplayConnections(self, engine.entry.id)
         publications = Publications()
-        kept = KeptParts(mock.Mock())
+        cached_parts = CachedParts(mock.Mock())
         hall = exchange.hosts.own.hall
-        quotas = UpstreamShares(exchange.hosts, publications, upstreams)
-        self.placement = Placement(hall, 12.0, publications, upstreams, trackers, kept, quotas)
+        quotas = UpstreamQuotas(exchange.hosts, publications, upstreams)
+        self.placement = Placement(
+            hall, 12.0, publications, upstreams, trackers, cached_parts, quotas
+        )
         self.placement.view_lag_s = lambda: exchange.lag_s
         engines = mock.Mock()
         engines.presence.side_effect = lambda _, start: replay.presence(start.id)
@@ -271,7 +273,7 @@
         if engine.is_down and is_new:
             self.replay.after(CONNECT_TIMEOUT_S, self._fail_to_connect)
             return
-        self.host.placement.shares.note_sent(choice.tracker)
+        self.host.placement.quotas.record_sent(choice.tracker)
         engine.handle(self)
         number = self.number
         self.replay.after(CALLER_TIMEOUT_S, lambda: self._abandon(number))
--- a/libs/serving/ruddersaddle_serving/tests/test_belief_ages.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_belief_ages.py
@@ -2,8 +2,8 @@
 
 import unittest
 
-from ruddersaddle_serving.context_stores import TRUST_S
-from ruddersaddle_serving.kept_parts import FOLLOW_WAIT_S
+from ruddersaddle_serving.cached_parts import LONG_POLL_S
+from ruddersaddle_serving.context_stores import LISTING_TRUST_S
 from ruddersaddle_serving.neighbours import AGE_CHECK_S, ASK_PAUSE_S, STALE_S
 from ruddersaddle_serving.part_relays import ASK_PAUSE_S as PARTS_ASK_PAUSE_S
 from ruddersaddle_serving.store_followers import (
@@ -38,7 +38,7 @@
         self.assertGreater(UP_TO_DATE_S, RECEIVED_AGE_S)
 
     def test_listings_are_trusted_by_hosts_that_receive_from_others(self) -> None:
-        self.assertGreater(TRUST_S, 2 * FOLLOW_WAIT_S + ROUND_TRIP_S + PARTS_ASK_PAUSE_S)
+        self.assertGreater(LISTING_TRUST_S, 2 * LONG_POLL_S + ROUND_TRIP_S + PARTS_ASK_PAUSE_S)
 
 
 if __name__ == "__main__":
--- a/libs/serving/ruddersaddle_serving/tests/test_load_shares.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_load_shares.py
@@ -7,7 +7,7 @@
 from ruddersaddle_serving.hosts import HostRecord, Hosts
 from ruddersaddle_serving.load_shares import LoadExchange, LoadSums, Notices
 from ruddersaddle_serving.prompts import Part, PartId
-from ruddersaddle_serving.self_reports import Leave, LimitNews
+from ruddersaddle_serving.self_reports import LeaveNotice, LimitUpdate
 from ruddersaddle_serving.tests.engine_waits import wait_s
 from ruddersaddle_serving.tests.fixed_clocks import FixedClockTest
 from ruddersaddle_serving.trackers import Assignment, Notice, Progress, Reachability, Trackers
@@ -151,11 +151,11 @@
         for halls, in_hall in ((2, 3), (3, 8)):
             _, fleet = make_fleet(halls, in_hall)
             for ended in (False, True):
-                news = LimitNews(2.1, ended, RequestId("q"))
+                news = LimitUpdate(2.1, ended, RequestId("q"))
                 fleet[4].broadcast(Notice(ENGINE, 1, Progress.SELF_REPORTED, limit=news))
                 self.settle(fleet)
                 limited = {
-                    each.trackers.by_id[ENGINE].reported.rate_limit.is_named for each in fleet
+                    each.trackers.by_id[ENGINE].reported.rate_limit.is_advertised for each in fleet
                 }
                 with self.subTest(halls=halls, ended=ended):
                     self.assertEqual(limited, {not ended})
@@ -165,7 +165,9 @@
         for halls, in_hall, knowing in ((2, 3, 6), (1, 20, 2)):
             _, fleet = make_fleet(halls, in_hall)
             sender = next(each for each in fleet if not each.is_aggregating)
-            sender.broadcast(Notice(ENGINE, 1, Progress.SELF_REPORTED, leave=Leave(RequestId("q"))))
+            sender.broadcast(
+                Notice(ENGINE, 1, Progress.SELF_REPORTED, leave=LeaveNotice(RequestId("q")))
+            )
             self.settle(fleet)
             known = [each for each in fleet if each.upstreams.is_leaving(UpstreamInstance(ENGINE))]
             with self.subTest(hosts=len(fleet)):
--- a/libs/serving/ruddersaddle_serving/tests/test_placements.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_placements.py
@@ -8,9 +8,9 @@
 from ruddersaddle_base.failures import Code, Failure, Ran
 from ruddersaddle_base.ids import HallId, HostId, ModelId, PoolId, RequestId, UpstreamId
 
+from ruddersaddle_serving.cached_parts import CachedParts
 from ruddersaddle_serving.evacuations import Evacuation
 from ruddersaddle_serving.hosts import HostRecord, Hosts
-from ruddersaddle_serving.kept_parts import KeptParts
 from ruddersaddle_serving.placements import (
     CANDIDATES_MAX,
     RETRY_SOON_S,
@@ -20,13 +20,20 @@
 from ruddersaddle_serving.ports import ModelVersion, StorePosition
 from ruddersaddle_serving.prompts import CallerHead, CallerRequest, Part, PartId, Prompt
 from ruddersaddle_serving.publications import Publications
-from ruddersaddle_serving.routes import Pool, Published, Route, RouteKind, RouteName, Target
-from ruddersaddle_serving.self_reports import LimitNews
+from ruddersaddle_serving.routes import (
+    Pool,
+    PublishedConfiguration,
+    Route,
+    RouteKind,
+    RouteName,
+    Target,
+)
+from ruddersaddle_serving.self_reports import LimitUpdate
 from ruddersaddle_serving.tests.fixed_clocks import FixedClockTest
 from ruddersaddle_serving.trackers import Tracker, Trackers
 from ruddersaddle_serving.upstream_entries import Heartbeat, UpstreamEntry
 from ruddersaddle_serving.upstream_lists import UpstreamList
-from ruddersaddle_serving.upstream_shares import JOIN_S, UpstreamShares
+from ruddersaddle_serving.upstream_quotas import JOIN_GRACE_S, UpstreamQuotas
 
 POOL = PoolId("p")
 MODEL = ModelId("m")
@@ -51,7 +58,7 @@
         self.publications = Publications()
         self.upstreams = UpstreamList()
         self.trackers = Trackers()
-        kept = KeptParts(mock.Mock())
+        cached_parts = CachedParts(mock.Mock())
         self.hosts = Hosts(HostId("host"), HostRecord("10.0.0.9:1", HallId("h")), [])
         self.placement = Placement(
             HallId("h"),
@@ -59,8 +66,8 @@
             self.publications,
             self.upstreams,
             self.trackers,
-            kept,
-            UpstreamShares(self.hosts, self.publications, self.upstreams),
+            cached_parts,
+            UpstreamQuotas(self.hosts, self.publications, self.upstreams),
         )
         self.first, self.second = (self.add(name) for name in ("e-1", "e-2"))
 
@@ -252,29 +259,29 @@
 
     def setUp(self) -> None:
         super().setUp()
-        self.publications.apply(Published(1, pools=(Pool(POOL, None, 3.0, 2.0),)))
+        self.publications.apply(PublishedConfiguration(1, pools=(Pool(POOL, None, 3.0, 2.0),)))
         self.hosts.replace({})
-        self.now += JOIN_S
+        self.now += JOIN_GRACE_S
 
     def turn_cold(self, tracker: Tracker) -> None:
-        self.upstreams.cold.take(tracker.entry.instance, Heartbeat(1, 3.0))
+        self.upstreams.cold.apply(tracker.entry.instance, Heartbeat(1, 3.0))
 
     def evacuate(self, hall: str) -> None:
-        self.publications.evacuations.take(Evacuation(HallId(hall), in_force=True))
+        self.publications.evacuations.apply(Evacuation(HallId(hall), in_force=True))
 
     def test_cold_engine_is_chosen_until_this_host_has_used_its_quota(self) -> None:
         self.turn_cold(self.first)
         self.fill(self.second, CAPACITY)
         for _ in range(2):
             self.assertIs(self.choose().tracker, self.first)
-            self.placement.shares.note_sent(self.first)
+            self.placement.quotas.record_sent(self.first)
         self.assertIs(self.choose().tracker, self.second)
 
     def test_all_cold_and_no_quota_left_is_refused_and_has_not_run(self) -> None:
         for tracker in (self.first, self.second):
             self.turn_cold(tracker)
             for _ in range(2):
-                self.placement.shares.note_sent(tracker)
+                self.placement.quotas.record_sent(tracker)
         refusal = self.choose()
         self.assertEqual((refusal.code, refusal.ran), (Code.NO_UPSTREAM, Ran.NOT_RUN))
         self.assertIn("2 cold", refusal.detail)
@@ -282,22 +289,22 @@
 
     def test_engine_at_its_limit_is_avoided_and_its_last_request_held_back(self) -> None:
         self.fill(self.second, CAPACITY)
-        self.first.reported.rate_limit.take(LimitNews(1.0, False, RequestId("q")))
+        self.first.reported.rate_limit.apply(LimitUpdate(1.0, False, RequestId("q")))
         self.assertIs(self.choose().tracker, self.first)
-        self.placement.shares.note_sent(self.first)
+        self.placement.quotas.record_sent(self.first)
         self.assertIs(self.choose().tracker, self.second)
         self.assertIn("limited", self.placement.check_available(self.first).detail)
         for tracker in (self.first, self.second):
-            tracker.reported.rate_limit.take(LimitNews(0.0, False, RequestId("q")))
-            self.placement.shares.note_sent(tracker)
+            tracker.reported.rate_limit.apply(LimitUpdate(0.0, False, RequestId("q")))
+            self.placement.quotas.record_sent(tracker)
         self.assertEqual("2 upstreams, 2 at their limit", self.choose().detail)
 
     def test_engine_in_backoff_is_avoided_and_a_refusal_has_the_remaining_time(self) -> None:
-        self.first.reported.rest(3.0)
+        self.first.reported.back_off(3.0)
         self.fill(self.second, CAPACITY)
         self.assertIs(self.choose().tracker, self.second)
         self.assertIn("backoff", self.placement.check_available(self.first).detail)
-        self.second.reported.rest(5.0)
+        self.second.reported.back_off(5.0)
         self.now += 1.0
         refusal = self.choose()
         self.assertEqual((refusal.code, refusal.ran), (Code.NO_UPSTREAM, Ran.NOT_RUN))
@@ -321,7 +328,7 @@
         self.assertIsNone(self.placement.check_available(self.first))
         self.turn_cold(self.first)
         for _ in range(2):
-            self.placement.shares.note_sent(self.first)
+            self.placement.quotas.record_sent(self.first)
         self.assertEqual(self.placement.check_available(self.first).ran, Ran.NOT_RUN)
         self.evacuate("h")
         self.assertIn("evacuated", self.placement.check_available(self.second).detail)
--- a/libs/serving/ruddersaddle_serving/tests/test_trackers.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_trackers.py
@@ -5,8 +5,8 @@
 from ruddersaddle_base.ids import HallId, ModelId, PoolId, RequestId, UpstreamId
 
 from ruddersaddle_serving.prompts import Part, PartId
-from ruddersaddle_serving.routes import Engine, Pool, Published, RouteTable
-from ruddersaddle_serving.self_reports import LimitNews
+from ruddersaddle_serving.routes import EngineSpec, Pool, PublishedConfiguration, RouteTable
+from ruddersaddle_serving.self_reports import LimitUpdate
 from ruddersaddle_serving.tests.fixed_clocks import FixedClockTest
 from ruddersaddle_serving.trackers import Assignment, Notice, Progress, Trackers
 from ruddersaddle_serving.upstream_entries import UpstreamEntry
@@ -22,8 +22,8 @@
 
 
 def make_table(memory_tokens: int) -> RouteTable:
-    engine = Engine(8, memory_tokens, (ModelId("m"),))
-    return RouteTable(Published(1, pools=(Pool(POOL, engine),)))
+    engine = EngineSpec(8, memory_tokens, (ModelId("m"),))
+    return RouteTable(PublishedConfiguration(1, pools=(Pool(POOL, engine),)))
 
 
 class MemoryTest(unittest.TestCase):
@@ -93,16 +93,16 @@
     def test_limit_survives_an_entry_that_is_removed_and_returns(self) -> None:
         trackers = Trackers()
         entry = make_entry("e-1", 1000)
-        trackers.get_or_create(entry).reported.rate_limit.take(
-            LimitNews(2.1, False, RequestId("q"))
+        trackers.get_or_create(entry).reported.rate_limit.apply(
+            LimitUpdate(2.1, False, RequestId("q"))
         )
         trackers.keep_only(set())
         self.assertEqual(trackers.get_or_create(entry).reported.rate_limit.bound_per_s(), 2.1)
 
     def test_limit_of_an_instance_does_not_apply_to_the_next_one(self) -> None:
         trackers = Trackers()
-        trackers.get_or_create(make_entry("e-1", 1000)).reported.rate_limit.take(
-            LimitNews(2.1, False, RequestId("q"))
+        trackers.get_or_create(make_entry("e-1", 1000)).reported.rate_limit.apply(
+            LimitUpdate(2.1, False, RequestId("q"))
         )
         self.assertIsNone(
             trackers.get_or_create(make_entry("e-1", 2000)).reported.rate_limit.bound_per_s()
--- a/libs/serving/ruddersaddle_serving/trackers.py
+++ b/libs/serving/ruddersaddle_serving/trackers.py
@@ -15,10 +15,10 @@
 from ruddersaddle_serving.prompts import Part
 from ruddersaddle_serving.routes import RouteTable
 from ruddersaddle_serving.self_reports import (
-    Leave,
+    LeaveNotice,
     LimitChange,
-    LimitNews,
-    Reported,
+    LimitUpdate,
+    ReportedState,
     SelfReport,
 )
 from ruddersaddle_serving.silences import REPORT_TTL_S, Liveness
@@ -99,9 +99,9 @@
     """With `SENT`: the time within which a response is expected."""
     born_ms: int | None = None
     """Identifies the instance of the upstream; None if it is unknown."""
-    limit: LimitNews | None = None
+    limit: LimitUpdate | None = None
     """Rate limit that an answer reported."""
-    leave: Leave | None = None
+    leave: LeaveNotice | None = None
     """Set if an answer reported that the upstream is leaving."""
 
 
@@ -127,7 +127,7 @@
         self,
         entry: UpstreamEntry,
         memory_tokens: int = 0,
-        reported: Reported | None = None,
+        reported: ReportedState | None = None,
     ) -> None:
         self.entry = entry
         self.connections = UpstreamConnections(entry.address)
@@ -139,7 +139,7 @@
         """Until when it is loading weights for the lease holder, on the monotonic clock."""
         self.liveness = Liveness()
         self.sends = RecentSends()
-        self.reported = reported or Reported()
+        self.reported = reported or ReportedState()
         self._failure_rate = 0.0
         self._outcome_at = clocks.now_s()
         self._reported_failure_rate = 0.0
@@ -265,14 +265,14 @@
 
         `request` is None if the answer is to one of this host's own calls.
         """
-        self._apply_backoff(report.rest_s, request)
+        self._apply_backoff(report.backoff_s, request)
         if isinstance(report.limit_per_s, Failure):
             self._warn_malformed(report.limit_per_s, request)
-        limit = self.reported.rate_limit.after(report, request, is_ordinary)
+        limit = self.reported.rate_limit.update_from(report, request, is_ordinary)
         if limit is None and not report.leaving:
             return None
         instance = self.entry.instance
-        leave = Leave(request) if report.leaving else None
+        leave = LeaveNotice(request) if report.leaving else None
         return Notice(
             instance.id,
             0,
@@ -282,14 +282,14 @@
             leave=leave,
         )
 
-    def _apply_backoff(self, rest_s: float | Failure, request: RequestId | None) -> None:
-        if isinstance(rest_s, Failure):
-            self._warn_malformed(rest_s, request)
-        elif self.reported.rest(rest_s):
+    def _apply_backoff(self, backoff_s: float | Failure, request: RequestId | None) -> None:
+        if isinstance(backoff_s, Failure):
+            self._warn_malformed(backoff_s, request)
+        elif self.reported.back_off(backoff_s):
             logger.info(
                 "Upstream %s asked for a backoff of %.1f s.",
                 self.entry.instance,
-                rest_s,
+                backoff_s,
                 extra={"request": request},
             )
 
@@ -301,11 +301,11 @@
             extra={"request": request},
         )
 
-    def apply_limit(self, news: LimitNews | None, reporter: str, is_first_hand: bool) -> None:
+    def apply_limit(self, news: LimitUpdate | None, reporter: str, is_first_hand: bool) -> None:
         """Apply the upstream's rate limit as reported by a host, first hand or not."""
         if news is None:
             return
-        change = self.reported.rate_limit.take(news, is_first_hand)
+        change = self.reported.rate_limit.apply(news, is_first_hand)
         if change is not LimitChange.NONE:
             logger.info(
                 "Rate limit of upstream %s has %s: %.2f requests a second.",
@@ -349,7 +349,7 @@
 
     def __init__(self) -> None:
         self.by_id: dict[UpstreamId, Tracker] = {}
-        self._reported_by_instance: dict[UpstreamInstance, Reported] = {}
+        self._reported_by_instance: dict[UpstreamInstance, ReportedState] = {}
         """State reported by instances whose entries were removed, latest last; entries may
         return."""
         self._memory_by_pool: dict[PoolId, int] = {}
--- a/libs/serving/ruddersaddle_serving/upstream_lists.py
+++ b/libs/serving/ruddersaddle_serving/upstream_lists.py
@@ -171,7 +171,7 @@
             return
         if entry.heartbeat is not None:
             # Each change of an entry is sent to all hosts; a heartbeat must not count as one.
-            self.cold.take(entry.instance, entry.heartbeat)
+            self.cold.apply(entry.instance, entry.heartbeat)
             entry = msgspec.structs.replace(entry, heartbeat=None)
         self._lapse_at_by_id.pop(entry.id, None)
         self._gone.pop(entry.instance, None)
--- /dev/null
+++ b/libs/serving/ruddersaddle_serving/upstream_quotas.py
@@ -0,0 +1,138 @@
+"""How many requests per second this host may send to a cold or rate-limited upstream.
+
+The load pattern to survive: a third of the engines crashes and restarts empty and cold. An empty
+engine looks best to every host, so hundreds of hosts would send to it at once, and it would crash
+and start cold again. The rate that such an upstream can take is therefore split into quotas of a
+few hosts, chosen by rendezvous hashing over the host list. Hosts agree on them without messages,
+even if they can't reach each other; the quota of a failed host stays unused. While host lists
+differ, more hosts than these send to the upstream. Quotas add up to a rate that it can sustain,
+and it crashes only well above that.
+"""
+
+import math
+
+import msgspec
+from ruddersaddle_base import clocks
+from ruddersaddle_routing.rendezvous import rank_names
+
+from ruddersaddle_serving.hosts import Hosts
+from ruddersaddle_serving.publications import Publications
+from ruddersaddle_serving.routes import Pool
+from ruddersaddle_serving.trackers import Tracker
+from ruddersaddle_serving.upstream_entries import UpstreamInstance
+from ruddersaddle_serving.upstream_lists import UpstreamList
+
+WINDOW_S = 1.05
+"""Window for counting requests: a second, plus the variation of their latency."""
+JOIN_GRACE_S = 3.0
+"""A host has no quota for this long after it first received the host list: the list may lack hosts
+that started at the same time, and the others don't know this host yet."""
+
+
+class Quota(msgspec.Struct, frozen=True):
+    """Number of requests that a host may send to an upstream within a window."""
+
+    requests: int
+    window_s: float
+
+
+NO_QUOTA = Quota(0, WINDOW_S)
+
+
+def compute_quota(per_s: float, ranked_hosts: list[str], host: str) -> Quota:
+    """Return a host's quota of an upstream's rate.
+
+    `ranked_hosts` are all hosts in the upstream's own rendezvous order. As many of them have a
+    quota as the upstream accepts requests per second.
+    """
+    if per_s < 1.0:
+        is_first = bool(ranked_hosts) and ranked_hosts[0] == host
+        return Quota(1, WINDOW_S / per_s) if is_first and per_s > 0 else NO_QUOTA
+    holders = ranked_hosts[: math.floor(per_s)]
+    if host not in holders:
+        return NO_QUOTA
+    return Quota(math.floor(per_s / len(holders)), WINDOW_S)
+
+
+class UpstreamQuotas:
+    """The quotas of this host at upstreams that are cold or state a rate limit."""
+
+    def __init__(self, hosts: Hosts, publications: Publications, upstreams: UpstreamList) -> None:
+        self.hosts = hosts
+        self.publications = publications
+        self.upstreams = upstreams
+        self.cold_sent = 0
+        """Number of requests that this host sent to cold upstreams."""
+        self.limited_sent = 0
+        """Number of requests that this host sent to upstreams that state a limit."""
+        self._ranked_by_instance: dict[UpstreamInstance, list[str]] = {}
+        self._ranked_digest = 0
+        """Digest of the host list that the cached ranks were computed from."""
+
+    def cold_until(self, tracker: Tracker) -> float:
+        """Return until when an upstream is cold, on the steady clock.
+
+        Its own report takes up to two seconds to arrive. So it is also assumed to be cold after it
+        was unresponsive, as it may have restarted, and after an evacuation of its hall has ended.
+        """
+        pool = self._pool(tracker)
+        if pool is None or not pool.cold_per_s:
+            return float("-inf")
+        resumed_at = max(
+            tracker.liveness.recovered_at,
+            self.publications.evacuations.ended_at(tracker.entry.hall),
+        )
+        reported_until = self.upstreams.cold.until(tracker.entry.instance)
+        return max(reported_until, resumed_at + pool.cold_start_s)
+
+    def is_cold(self, tracker: Tracker) -> bool:
+        """Return whether an upstream is cold now."""
+        return clocks.now_s() < self.cold_until(tracker)
+
+    def may_send(self, tracker: Tracker) -> bool:
+        """Return whether this host may send a request to an upstream now."""
+        per_s = self.bound_per_s(tracker)
+        if per_s is None:
+            return True
+        quota = self._own_quota(tracker, per_s)
+        return tracker.sends.count_since(clocks.now_s() - quota.window_s) < quota.requests
+
+    def bound_per_s(self, tracker: Tracker) -> float | None:
+        """Return the rate that all hosts together may send now; None if there is no bound."""
+        limit_per_s = tracker.reported.rate_limit.bound_per_s()
+        if not self.is_cold(tracker):
+            return limit_per_s
+        cold_per_s = self._pool(tracker).cold_per_s
+        return cold_per_s if limit_per_s is None else min(cold_per_s, limit_per_s)
+
+    def record_sent(self, tracker: Tracker) -> None:
+        """Count a request to an upstream, bounded or not, as a bound may start at any moment."""
+        tracker.sends.record(clocks.now_s())
+        self.cold_sent += self.is_cold(tracker)
+        self.limited_sent += tracker.reported.rate_limit.is_advertised
+
+    def count_cold(self) -> int:
+        """Return how many upstreams report that they are cold."""
+        return len(self.upstreams.cold.current())
+
+    def _pool(self, tracker: Tracker) -> Pool | None:
+        table = self.publications.table
+        return None if table is None else table.pool_by_id.get(tracker.entry.pool)
+
+    def _own_quota(self, tracker: Tracker, per_s: float) -> Quota:
+        if clocks.now_s() < self.hosts.known_at + JOIN_GRACE_S:
+            return NO_QUOTA
+        return compute_quota(per_s, self._rank(tracker.entry.instance), self.hosts.own_id)
+
+    def _rank(self, instance: UpstreamInstance) -> list[str]:
+        if self._ranked_digest != self.hosts.digest:
+            self._ranked_digest = self.hosts.digest
+            self._ranked_by_instance.clear()
+        if instance not in self._ranked_by_instance:
+            known = set(self.upstreams.instances())
+            self._ranked_by_instance = {
+                each: ranked for each, ranked in self._ranked_by_instance.items() if each in known
+            }
+            names = [self.hosts.own_id, *self.hosts.by_id]
+            self._ranked_by_instance[instance] = rank_names(str(instance), names)
+        return self._ranked_by_instance[instance]
--- a/libs/serving/ruddersaddle_serving/weighings.py
+++ b/libs/serving/ruddersaddle_serving/weighings.py
@@ -12,8 +12,8 @@
     excess_s,
     predict_wait_s,
 )
-from ruddersaddle_serving.context_stores import KeptStore
-from ruddersaddle_serving.kept_parts import KeptParts, make_salt
+from ruddersaddle_serving.cached_parts import CachedParts, make_salt
+from ruddersaddle_serving.context_stores import StoreView
 from ruddersaddle_serving.paces import nominal_prefill_s
 from ruddersaddle_serving.prompts import CallerRequest, Prompt
 from ruddersaddle_serving.trackers import Tracker
@@ -76,12 +76,12 @@
 class CostEstimator:
     """Estimates the cost of one prompt; context stores are searched once for each salt."""
 
-    def __init__(self, request: CallerRequest, prompt: Prompt, kept: KeptParts) -> None:
+    def __init__(self, request: CallerRequest, prompt: Prompt, cached_parts: CachedParts) -> None:
         self.request = request
         self.prompt = prompt
-        self.kept = kept
+        self.cached_parts = cached_parts
         self.estimates: list[Estimate] = []
-        self.holders_by_salt: dict[str, list[KeptStore | None]] = {}
+        self.holders_by_salt: dict[str, list[StoreView | None]] = {}
 
     def pick_earliest(self, trackers: list[Tracker], margin_s: float = 0.0) -> Estimate:
         """Return the estimate with the earliest first event; the first tracker's among equals.
@@ -105,7 +105,7 @@
         priority = self.request.priority
         salt = self._salt(prompt.model, version)
         if salt not in self.holders_by_salt:
-            self.holders_by_salt[salt] = self.kept.find_holders(salt, prompt)
+            self.holders_by_salt[salt] = self.cached_parts.find_holders(salt, prompt)
         cached = tracker.memory.cached_prefix_tokens(salt, prompt.shared_parts)
         fetched, fetch_s = _fetchable_parts(
             prompt, cached, self.holders_by_salt[salt], tracker.entry.hall
@@ -139,7 +139,7 @@
 
 
 def _fetchable_parts(
-    prompt: Prompt, cached: int, holders: list[KeptStore | None], hall: HallId
+    prompt: Prompt, cached: int, holders: list[StoreView | None], hall: HallId
 ) -> tuple[int, float]:
     """Return the tokens of the parts after the cached ones that can be fetched, and their time."""
     fetched = 0
@@ -152,5 +152,5 @@
         if holder is None:
             break
         fetched += part.tokens
-        fetch_s += holder.move_s(part.tokens, hall)
+        fetch_s += holder.transfer_s(part.tokens, hall)
     return fetched, fetch_s
