--- a/libs/serving/ruddersaddle_serving/host_lists.py
+++ b/libs/serving/ruddersaddle_serving/host_lists.py
@@ -29,7 +29,7 @@
 READ_PAUSE_S = 12.0
 """Pause of a reader between reads of the list; a new host also becomes known by its requests."""
 STARTUP_S = 15.0
-"""How long after its start a host that finds no other on the list reads it again soon."""
+"""Time after the start during which a host that finds no other on the list rereads it soon."""
 RESTORE_STAGGER_S = 1.0
 """Delay from one reader to the next before they rewrite lost hosts after a restore of the store;
 one call is enough."""
@@ -89,9 +89,9 @@
     def apply_page(self, page: Page) -> None:
         """Apply the list read from the store; rewrite the hosts that a restore has lost."""
         listed = _decode_hosts(page.records)
-        is_return = self._era not in (None, page.end.era)
+        is_restore = self._era not in (None, page.end.era)
         self._era = page.end.era
-        if is_return:
+        if is_restore:
             known = self.hosts.all_by_id()
             missing = {host: each for host, each in known.items() if host not in listed}
             listed |= missing
--- a/libs/serving/ruddersaddle_serving/hosts.py
+++ b/libs/serving/ruddersaddle_serving/hosts.py
@@ -47,7 +47,7 @@
         self.own = own
         self.by_id: dict[HostId, HostRecord] = {}
         self.known_at = float("inf")
-        """When this host first had a list, read or received; by the steady clock."""
+        """Time at which this host first read or received a list, by the steady clock."""
         self.position = TOPIC_START
         """Position after the newest record of the list; TOPIC_START if it is not known."""
         self._seeds = [seed for seed in seeds if seed and seed != own.address]
@@ -57,13 +57,13 @@
         self._digest: int | None = None
         self._ranked: list[HostRecord] = []
         self._ranked_until = float("-inf")
-        """Until when `_ranked` is valid. Ranking takes some hundred microseconds and is needed some
-        hundred times a second, so the result is cached until a host is added or removed, becomes
-        unresponsive or responds again."""
+        """Time until which `_ranked` is valid. Ranking takes some hundred microseconds and is used
+        some hundred times a second, so the result is cached until a host is added or removed,
+        becomes unresponsive or responds again."""
 
     @property
     def is_known(self) -> bool:
-        """Whether this host has had a list."""
+        """Whether this host has read or received a list."""
         return self.known_at != float("inf")
 
     def replace(
--- a/libs/serving/ruddersaddle_serving/publications.py
+++ b/libs/serving/ruddersaddle_serving/publications.py
@@ -40,8 +40,7 @@
     received_s: float
     """Time for which the sender has known of the naming."""
     not_before_s: float
-    """Longest time for which the version may have been named: the sender's view before that was
-    confirmed without it."""
+    """Upper bound on the age of the naming: the sender's last confirmation without it is so old."""
 
 
 class Publications:
--- a/libs/serving/ruddersaddle_serving/upstream_lists.py
+++ b/libs/serving/ruddersaddle_serving/upstream_lists.py
@@ -65,8 +65,8 @@
 
     @property
     def is_up_to_date(self) -> bool:
-        """Whether every upstream that is alive is listed: the list is recent and no outage of the
-        store is too recent."""
+        """Whether every upstream that is alive is listed: the list is recent, and the last outage
+        of the store is long enough ago."""
         return self.age_s < UP_TO_DATE_S and clocks.now_s() >= self._outage_until
 
     def record_outage(self) -> None:
@@ -93,8 +93,8 @@
         self.ignore_gone_instances()
 
     def ignore_gone_instances(self) -> None:
-        """Ignore entries of instances known to be gone for a while: lists, also those that other
-        hosts send, may come from the restored copy."""
+        """For a while, ignore entries of instances known to be gone: lists of the store and of
+        other hosts may come from the restored copy."""
         self._gone_ignored_until = clocks.now_s() + RESTORE_MEMORY_S
 
     def _is_known_gone(self, instance: UpstreamInstance) -> bool:
