--- a/libs/serving/ruddersaddle_serving/fronts.py
+++ b/libs/serving/ruddersaddle_serving/fronts.py
@@ -290,8 +290,8 @@
         body = msgspec.json.encode({"error": failure.code.value, "detail": failure.detail})
         headers = [("Content-Type", "application/json"), ("Content-Length", str(len(body)))]
         request = None if self.head is None else self.head.id
-        may_come_back = status == NOT_RUN_STATUS and failure.code is not Code.FITS_NO_ENGINE
-        retry_after_s = failure.retry_after_s if may_come_back else None
+        may_retry = status == NOT_RUN_STATUS and failure.code is not Code.FITS_NO_ENGINE
+        retry_after_s = failure.retry_after_s if may_retry else None
         headers += self.front.wire.write_refusal(request, retry_after_s)
         if failure.code is Code.TOO_LARGE or failure.step is Step.PARSE:
             # The unread rest of the body would be taken for the next request.
@@ -325,9 +325,9 @@
         return InterruptedRequest(request, route, upstream, clocks.now_s() - self.began)
 
     def _log_fault(self) -> None:
-        cut = self.describe()
-        fields = {"request": cut.request, "route": cut.route, "upstream": cut.upstream}
-        logger.exception("Request failed for a fault of this program.", extra=fields)
+        details = self.describe()
+        fields = {"request": details.request, "route": details.route, "upstream": details.upstream}
+        logger.exception("Request failed with an unhandled exception.", extra=fields)
 
     def _finish(self, outcome: str) -> None:
         self.front.exchanges.discard(self)
