--- a/libs/daemon/ruddersaddle/keyed_calls.py
+++ b/libs/daemon/ruddersaddle/keyed_calls.py
@@ -15,7 +15,7 @@
 from ruddersaddle_state.appenders import Appender
 from ruddersaddle_state.claims import Claims
 from ruddersaddle_state.followers import Follower
-from ruddersaddle_state.records import Claim, Fate, Outcome, Void
+from ruddersaddle_state.records import Claim, Outcome, RecordResult, Void
 
 from ruddersaddle.answers import Answer, KeptAnswers
 from ruddersaddle.messages import AnswerMessage, AskAnswer, ServiceCall
@@ -72,10 +72,7 @@
 
     def run(self, keyed: KeyedCall, dispatch: Dispatch, ask: AskOwner) -> Answer:
         """Run a call at most once, whoever else has its key, and return its answer."""
-        if (
-            self.claims.is_forgotten(keyed.dated)
-            or keyed.dated < time.time() - self.claims.memory_s
-        ):
+        if self.claims.is_expired(keyed.dated) or keyed.dated < time.time() - self.claims.memory_s:
             return _expired()
         if keyed.dated > time.time() + self.claims.skew_s:
             detail = "the key's date is in the future"
@@ -91,7 +88,7 @@
 
     def _can_claim(self, keyed: KeyedCall) -> bool:
         follower = self.follower
-        known = follower.reached_end and self.claims.is_known(keyed.dated)
+        known = follower.reached_end and self.claims.has_full_history(keyed.dated)
         return known and follower.reachable and not self.appender.down
 
     def _join(self, keyed: KeyedCall) -> Answer:
@@ -116,7 +113,7 @@
         return answer
 
     def _lost_claim(
-        self, keyed: KeyedCall, attempt: RecordId, fate: Fate | None, ask: AskOwner
+        self, keyed: KeyedCall, attempt: RecordId, fate: RecordResult | None, ask: AskOwner
     ) -> Answer:
         """Answer a call whose claim was refused, or not read back in time."""
         if fate is None:
@@ -159,14 +156,14 @@
     def _void_record(self, keyed: KeyedCall, attempt: RecordId) -> Void:
         return Void(new_record_id(), keyed.key, attempt, keyed.dated)
 
-    def _settle(self, record: Claim | Void, timeout_s: float) -> Fate | None:
+    def _settle(self, record: Claim | Void, timeout_s: float) -> RecordResult | None:
         """Append a record and wait until it is read back; None if that took too long.
 
         An append whose answer is lost may have taken effect, so the fate counts, not the answer.
         """
         self.follower.expect(record.id)
         try:
-            self.appender.post(record, self.follower.give_up)
+            self.appender.post(record, self.follower.cancel_wait)
             return self.follower.wait(record.id, timeout_s)
         finally:
             self.follower.forget(record.id)
--- a/libs/daemon/ruddersaddle/orders.py
+++ b/libs/daemon/ruddersaddle/orders.py
@@ -122,7 +122,7 @@
         began = time.monotonic()
         grant = Grant(new_record_id(), pool, self.incarnation, length_s)
         self.follower.expect(grant.id)
-        self.appender.post(grant, self.follower.give_up)
+        self.appender.post(grant, self.follower.cancel_wait)
         fate = self.follower.wait(grant.id, length_s)
         self.follower.forget(grant.id)
         if fate is None or fate.outcome is not Outcome.ACCEPTED:
@@ -160,7 +160,7 @@
         done = view.engine_by_address[address].order(order)
         self._ordered_at.pop(address, None)
         if done is True and address in view.load_by_address:
-            view.load_by_address[address].note_version(order.version)
+            view.load_by_address[address].record_version(order.version)
         if isinstance(done, Failure):
             logger.warning("Order to %s failed. %s", address, done.detail)
         elif done:
--- a/libs/serving/ruddersaddle_serving/forwarders.py
+++ b/libs/serving/ruddersaddle_serving/forwarders.py
@@ -133,9 +133,9 @@
         self.pool = self.forwarder.placement.pick_pool(self.request.route)
         if self.pool is None:
             return Failure(Code.NO_UPSTREAM, Step.ADMIT, self.request.route.name, "no target")
-        self.forwarder.budget.note_first()
+        self.forwarder.budget.record_first_attempt()
         while True:
-            result = self._attempt_once(self.request.head.last_event)
+            result = self._attempt_once(self.request.head.last_event_id)
             if not isinstance(result, Failure):
                 return result
             self._may_have_run = self._may_have_run or result.ran is not Ran.NOT_RUN
@@ -148,9 +148,9 @@
         """Extend an overload refusal's retry delay until the first backoff in the pool ends."""
         if failure.step is not Step.SEND or failure.code is not Code.OVERLOADED:
             return failure
-        rested_in_s = self.forwarder.placement.rested_in_s(self.pool)
+        backoff_remaining_s = self.forwarder.placement.backoff_remaining_s(self.pool)
         return msgspec.structs.replace(
-            failure, retry_after_s=max(failure.retry_after_s, rested_in_s)
+            failure, retry_after_s=max(failure.retry_after_s, backoff_remaining_s)
         )
 
     def _as_unknown(self, failure: Failure) -> Failure:
@@ -183,7 +183,7 @@
             failure = self.attempt.connect()
             outcome = "no connection"
             if failure is None:
-                failure = forwarder.placement.check_open(choice.tracker)
+                failure = forwarder.placement.check_available(choice.tracker)
                 if failure is None:
                     return self._send()
                 outcome = failure.detail
@@ -201,7 +201,7 @@
 
     def _choose(self) -> Choice | Failure:
         """Return the upstream for the next attempt."""
-        self.forwarder.crashes.settle(self.request.fingerprint)
+        self.forwarder.crashes.wait_for_outcome(self.request.fingerprint)
         refusal = self._check_crashes()
         if refusal is not None:
             return refusal
@@ -222,7 +222,7 @@
         tracker = self.attempt.choice.tracker
         upstream = tracker.id
         self._excluded.add(upstream)
-        self.forwarder.placement.shares.note_sent(tracker)
+        self.forwarder.placement.quotas.record_sent(tracker)
         head = self.attempt.open()
         if isinstance(head, Failure):
             refused = head.ran is Ran.NOT_RUN
@@ -251,7 +251,7 @@
             return body
         failed = head.status >= 500
         if head.status < 300:
-            self.forwarder.crashes.note_whole(self.request.fingerprint)
+            self.forwarder.crashes.record_completion(self.request.fingerprint)
         self._end_attempt(failed, f"{upstream} status {head.status}")
         if failed and self._may_repeat():
             again = self._retry_after_error()
@@ -265,7 +265,7 @@
         failure = Failure(Code.UPSTREAM_FAILED, Step.READ, self.trace.upstream, "", Ran.RAN)
         if not self._may_retry(failure):
             return None
-        result = self._attempt_once(self.request.head.last_event)
+        result = self._attempt_once(self.request.head.last_event_id)
         return None if isinstance(result, Failure) else result
 
     def _await_first(self, head: AnswerHead) -> AnswerHead | Failure:
@@ -287,7 +287,7 @@
 
     def _record_first(self) -> None:
         if self.trace.first_s is None:
-            self.trace.first_s = clocks.now_s() - self.request.began
+            self.trace.first_s = clocks.now_s() - self.request.started_at
 
     def events(self) -> Iterator[bytes | Failure]:
         """Yield complete events as they arrive; a failure, if any, comes last."""
@@ -305,7 +305,7 @@
                 continue
             if not data:
                 rest = self.splitter.flush()
-                self.forwarder.crashes.note_whole(self.request.fingerprint)
+                self.forwarder.crashes.record_completion(self.request.fingerprint)
                 self._end_attempt(False, "whole")
                 if rest:
                     yield rest
@@ -343,12 +343,12 @@
             return False
         if self.request.remaining_s < REMAINING_MIN_S:
             return False
-        return self.forwarder.budget.take()
+        return self.forwarder.budget.try_spend()
 
     def _end_attempt(self, failed: bool | None, outcome: str) -> None:
         self.trace.attempts.append(outcome)
         if self.attempt.is_broken:
-            self.forwarder.crashes.note_broken(
+            self.forwarder.crashes.record_broken_run(
                 self.attempt.choice.tracker, self.request.fingerprint
             )
         self.attempt.finish(failed)
--- a/libs/serving/ruddersaddle_serving/neighbour_messages.py
+++ b/libs/serving/ruddersaddle_serving/neighbour_messages.py
@@ -5,14 +5,14 @@
 
 from ruddersaddle_serving.cold_starts import ColdStart
 from ruddersaddle_serving.crash_records import CrashRecord
-from ruddersaddle_serving.crash_shares import CrashNews
+from ruddersaddle_serving.crash_shares import CrashUpdate
 from ruddersaddle_serving.fingerprints import Fingerprint
 from ruddersaddle_serving.hosts import HostRecord
 from ruddersaddle_serving.load_shares import LoadSums, Notices
-from ruddersaddle_serving.part_news import AskParts, PartsNews, StoreLost
+from ruddersaddle_serving.part_updates import PartsRequest, PartsUpdate, StoreLost
 from ruddersaddle_serving.ports import TOPIC_START, ModelVersion, StorePosition
 from ruddersaddle_serving.publications import NamingAge
-from ruddersaddle_serving.routes import Published
+from ruddersaddle_serving.routes import PublishedConfiguration
 from ruddersaddle_serving.store_eras import ERA_UNKNOWN
 from ruddersaddle_serving.upstream_entries import UpstreamEntry, UpstreamInstance
 
@@ -41,7 +41,7 @@
     age_s: float
     end: int
     named: tuple[ModelVersion, ...]
-    published: Published | None
+    published: PublishedConfiguration | None
     entries: tuple[UpstreamEntry, ...] | None
     """None if the asker has them."""
     entries_revision: int
@@ -112,9 +112,9 @@
     | Loaded
     | Notices
     | LoadSums
-    | AskParts
-    | PartsNews
+    | PartsRequest
+    | PartsUpdate
     | StoreLost
-    | CrashNews
+    | CrashUpdate
     | Ack
 )
--- a/libs/serving/ruddersaddle_serving/neighbours.py
+++ b/libs/serving/ruddersaddle_serving/neighbours.py
@@ -10,12 +10,12 @@
 from ruddersaddle_base.ids import HallId, StoreId
 from ruddersaddle_routing.rendezvous import rank_names
 
+from ruddersaddle_serving.cached_parts import CachedParts
 from ruddersaddle_serving.crash_records import CrashRecords
-from ruddersaddle_serving.crash_shares import OUT_MAX, CrashNews, CrashShares
+from ruddersaddle_serving.crash_shares import CRASH_RECORDS_MAX, CrashShares, CrashUpdate
 from ruddersaddle_serving.host_lists import HostList
 from ruddersaddle_serving.hosts import Hosts
-from ruddersaddle_serving.kept_parts import KeptParts
-from ruddersaddle_serving.load_shares import LoadShares, LoadSums, Notices
+from ruddersaddle_serving.load_shares import LoadExchange, LoadSums, Notices
 from ruddersaddle_serving.neighbour_messages import (
     Ack,
     Changed,
@@ -26,7 +26,7 @@
     StateRequest,
     StateUpdate,
 )
-from ruddersaddle_serving.part_news import AskParts, StoreLost, tell_parts
+from ruddersaddle_serving.part_updates import PartsRequest, StoreLost, reply_parts
 from ruddersaddle_serving.peers import Peers
 from ruddersaddle_serving.ports import (
     MetadataStore,
@@ -74,7 +74,7 @@
         publications: Publications,
         upstreams: UpstreamList,
         trackers: Trackers,
-        kept: KeptParts,
+        cached_parts: CachedParts,
         crashes: CrashRecords,
     ) -> None:
         self.hosts = hosts
@@ -83,11 +83,11 @@
         self.publications = publications
         self.upstreams = upstreams
         self.trackers = trackers
-        self.kept = kept
+        self.cached_parts = cached_parts
         self.peers = Peers(self.address, self._handle, NeighbourMessage)
         self.host_list = HostList(hosts, store)
         self.host_list.listeners.append(lambda: self.peers.keep_only(set(hosts.addresses())))
-        self.loads = LoadShares(hosts, self.peers, trackers, upstreams)
+        self.loads = LoadExchange(hosts, self.peers, trackers, upstreams)
         self.crashes = CrashShares(hosts, self.peers, store, crashes)
         self._revision_by_address: dict[str, int] = {}
         self._crashes_revision_by_address: dict[str, int] = {}
@@ -231,7 +231,7 @@
             self.host_list.apply(news.hosts, news.hosts_position)
         self._apply_crashes(news, asked_at)
         # What is cold is taken before the entries, so that none of them is ever thought warm.
-        self.upstreams.cold.take_all(news.cold)
+        self.upstreams.cold.apply_all(news.cold)
         self.upstreams.apply_leaving(news.leaving)
         entries_at = asked_at - news.entries_age_s
         if entries_at <= self.upstreams.confirmed_at:
@@ -251,8 +251,8 @@
             self.store.eras.learn(era)
 
     def _apply_crashes(self, news: StateUpdate, asked_at: float) -> None:
-        self.crashes.take_cleared(news.cleared)
-        self.crashes.take_records(news.crashes or ())
+        self.crashes.apply_cleared(news.cleared)
+        self.crashes.apply_records(news.crashes or ())
         self.crashes.confirm(asked_at - news.crashes_age_s)
 
     def _handle(self, message: NeighbourMessage) -> NeighbourMessage:
@@ -266,13 +266,13 @@
             case Changed():
                 self._handle_changed(message)
             case Notices():
-                self.loads.take_notices(message)
+                self.loads.apply_notices(message)
             case LoadSums():
-                self.loads.take_sums(message)
-            case CrashNews():
-                self.crashes.take(message)
-            case AskParts():
-                return tell_parts(self.kept, message)
+                self.loads.apply_sums(message)
+            case CrashUpdate():
+                self.crashes.apply_update(message)
+            case PartsRequest():
+                return reply_parts(self.cached_parts, message)
             case StoreLost():
                 self._handle_store_lost(message)
         return Ack()
@@ -308,8 +308,8 @@
             else None,
             hosts_position=hosts.position,
             namings=publications.naming_ages(),
-            crashes=None if knows_crashes else records.shared()[:OUT_MAX],
-            cleared=() if knows_crashes else records.recently_cleared()[:OUT_MAX],
+            crashes=None if knows_crashes else records.shared()[:CRASH_RECORDS_MAX],
+            cleared=() if knows_crashes else records.recently_cleared()[:CRASH_RECORDS_MAX],
             crashes_revision=records.revision,
             crashes_age_s=self.crashes.age_s,
             evacuated=publications.evacuations.in_force(),
@@ -339,9 +339,9 @@
             self.peers.broadcast(self.hosts.hall_addresses(), StoreLost(store))
 
     def _handle_store_lost(self, message: StoreLost) -> None:
-        kept = self.kept.by_id.get(message.store)
-        if kept is not None:
-            kept.note_lost()
+        store = self.cached_parts.by_id.get(message.store)
+        if store is not None:
+            store.record_lost()
 
     # Engines that are to load weights
 
@@ -357,7 +357,7 @@
         self.load_message_at = clocks.now_s()
         tracker = self.trackers.by_id.get(message.upstream)
         if tracker is not None:
-            tracker.take_version(message.model, message.version)
+            tracker.record_version(message.model, message.version)
             tracker.avoided_until = 0.0
 
     def broadcast(self, message: Loading | Loaded) -> None:
--- a/libs/serving/ruddersaddle_serving/store_followers.py
+++ b/libs/serving/ruddersaddle_serving/store_followers.py
@@ -20,7 +20,7 @@
     Topic,
 )
 from ruddersaddle_serving.publications import Publications
-from ruddersaddle_serving.routes import Published
+from ruddersaddle_serving.routes import PublishedConfiguration
 from ruddersaddle_serving.upstream_entries import UpstreamEntry
 from ruddersaddle_serving.upstream_lists import UpstreamList
 
@@ -155,7 +155,7 @@
                     )
                 case Evacuation():
                     evacuations.append(item)
-                case Published() | ModelVersion():
+                case PublishedConfiguration() | ModelVersion():
                     self.publications.apply(item)
                     self._record_stored_version(item)
         self._apply_evacuations(evacuations, complete, page.end)
@@ -173,11 +173,14 @@
             publications.evacuations.replace(halls, publications.is_of_later_era(end))
             return
         for each in evacuations:
-            publications.evacuations.take(each)
+            publications.evacuations.apply(each)
 
-    def _record_stored_version(self, item: Published | ModelVersion) -> None:
+    def _record_stored_version(self, item: PublishedConfiguration | ModelVersion) -> None:
         """Tell once when the store has an older configuration than the one in force."""
-        if not isinstance(item, Published) or item.version == self.publications.stored_version:
+        if (
+            not isinstance(item, PublishedConfiguration)
+            or item.version == self.publications.stored_version
+        ):
             return
         self.publications.stored_version = item.version
         known = self.publications.version
@@ -265,7 +268,7 @@
     def apply(self, page: Page, complete: bool, asked_at: float) -> bool:
         """Take records, then confirm them as of the question."""
         for record in page.records:
-            self.shares.take_record(record)
+            self.shares.apply_record(record)
         if complete:
             self.shares.write_missing()
         self.shares.confirm(asked_at)
@@ -278,4 +281,4 @@
 
     def record_restore(self) -> None:
         """What was written since the copy is gone."""
-        self.shares.note_return()
+        self.shares.record_restore()
--- a/libs/serving/ruddersaddle_serving/tests/test_part_relays.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_part_relays.py
@@ -1,4 +1,4 @@
-"""Tests of when a host first asks context stores."""
+"""Tests of when a host first lists context stores."""
 
 import unittest
 from unittest import mock
@@ -7,14 +7,14 @@
 from ruddersaddle_base.failures import Code, Failure, Step
 from ruddersaddle_base.ids import HallId, HostId, StoreId
 
+from ruddersaddle_serving.cached_parts import CachedParts
 from ruddersaddle_serving.crash_records import CrashRecords
 from ruddersaddle_serving.hosts import HostRecord, Hosts
-from ruddersaddle_serving.kept_parts import KeptParts
 from ruddersaddle_serving.neighbours import Neighbours
 from ruddersaddle_serving.part_relays import PartRelay
 from ruddersaddle_serving.ports import StoreListing
 from ruddersaddle_serving.publications import Publications
-from ruddersaddle_serving.routes import ContextStore, Published, RouteTable
+from ruddersaddle_serving.routes import ContextStore, PublishedConfiguration, RouteTable
 from ruddersaddle_serving.trackers import Trackers
 from ruddersaddle_serving.upstream_lists import UpstreamList
 
@@ -28,7 +28,7 @@
         engines = mock.Mock()
         engines.store_listing.return_value = StoreListing(1, 0, (), ())
         engines.store_changes.return_value = LOST
-        kept = KeptParts(engines)
+        cached_parts = CachedParts(engines)
         hosts = Hosts(HostId("a"), HostRecord("10.0.0.2:1", HALL), [])
         neighbours = Neighbours(
             hosts,
@@ -36,12 +36,12 @@
             Publications(),
             UpstreamList(),
             Trackers(),
-            kept,
+            cached_parts,
             CrashRecords(),
         )
-        PartRelay(kept, neighbours).start()
-        kept.start()
-        kept.take_table(RouteTable(Published(1, stores=(SPEC,))))
+        PartRelay(cached_parts, neighbours).start()
+        cached_parts.start()
+        cached_parts.apply_table(RouteTable(PublishedConfiguration(1, stores=(SPEC,))))
         eventlet.sleep(0.01)
         engines.store_listing.assert_not_called()
         neighbours.host_list.apply({HostId("b"): HostRecord("10.0.0.3:1", HALL)})
--- a/libs/serving/ruddersaddle_serving/tests/test_probes.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_probes.py
@@ -1,4 +1,4 @@
-"""Tests of who tries a silent upstream again, and how often."""
+"""Tests of which hosts probe an unresponsive upstream, and how often."""
 
 import unittest
 from unittest import mock
@@ -7,9 +7,9 @@
 
 from ruddersaddle_serving.hosts import HostRecord, Hosts
 from ruddersaddle_serving.ports import Presence
-from ruddersaddle_serving.probes import PAUSE_S, Probes
+from ruddersaddle_serving.probes import PROBE_INTERVAL_S, Probes
 from ruddersaddle_serving.tests.fixed_clocks import FixedClockTest
-from ruddersaddle_serving.trackers import Notice, Progress, Reach, Trackers
+from ruddersaddle_serving.trackers import Notice, Progress, Reachability, Trackers
 from ruddersaddle_serving.upstream_entries import UpstreamEntry
 
 ENGINE = UpstreamId("e-1")
@@ -33,19 +33,19 @@
         hosts.replace(records)
         trackers = Trackers()
         entry = UpstreamEntry(ENGINE, PoolId("p"), "10.1.0.1:80", HallId("hall-0"), 8, False, {})
-        tracker = trackers.at(entry)
+        tracker = trackers.get_or_create(entry)
         engines = mock.Mock()
         engines.presence.return_value = Presence.PRESENT
-        return Probes(hosts, trackers, engines, lambda notice: tracker.take_notice(own, notice))
+        return Probes(hosts, trackers, engines, lambda notice: tracker.apply_notice(own, notice))
 
-    def fall_silent(self, probes: Probes) -> None:
+    def become_unresponsive(self, probes: Probes) -> None:
         tracker = probes.trackers.by_id[ENGINE]
-        tracker.take_notice("x", Notice(ENGINE, 1, Progress.SENT, expected_s=0.1))
-        ended = Notice(ENGINE, 1, Progress.ENDED, reach=Reach.NO_CONNECTION)
-        tracker.take_notice("x", ended)
+        tracker.apply_notice("x", Notice(ENGINE, 1, Progress.SENT, expected_s=0.1))
+        ended = Notice(ENGINE, 1, Progress.ENDED, reachability=Reachability.NO_CONNECTION)
+        tracker.apply_notice("x", ended)
 
     def run_for(self, seconds: float) -> int:
-        """Look ten times a second; return how many probes were made."""
+        """Check for due probes ten times a second; return how many were made."""
         before = self.probes.count
         for _ in range(round(seconds * 10)):
             self.now += 0.1
@@ -58,38 +58,40 @@
         probers = []
         for name in names:
             probes = self.make_probes(name)
-            self.fall_silent(probes)
+            self.become_unresponsive(probes)
             probers += [name] if probes.due() else []
         self.assertEqual(probers, ["h0-0", "h1-0"])
 
-    def test_upstream_that_answers_is_left_alone(self) -> None:
+    def test_upstream_that_answers_is_not_probed(self) -> None:
         self.assertEqual(self.run_for(5.0), 0)
 
-    def test_dark_upstream_is_probed_until_it_takes_a_connection(self) -> None:
-        self.fall_silent(self.probes)
+    def test_upstream_that_is_down_is_probed_until_it_accepts_a_connection(self) -> None:
+        self.become_unresponsive(self.probes)
         self.probes.engines.presence.return_value = Presence.DOWN
-        self.assertIn(self.run_for(4.0), range(8, round(4.0 / PAUSE_S) + 1))
-        self.assertFalse(self.tracker.is_sound)
+        self.assertIn(self.run_for(4.0), range(8, round(4.0 / PROBE_INTERVAL_S) + 1))
+        self.assertFalse(self.tracker.is_healthy)
         self.probes.engines.presence.return_value = Presence.PRESENT
-        self.run_for(2 * PAUSE_S)
-        self.assertTrue(self.tracker.is_sound)
+        self.run_for(2 * PROBE_INTERVAL_S)
+        self.assertTrue(self.tracker.is_healthy)
         self.assertEqual(self.run_for(4.0), 0)
 
-    def test_address_that_another_upstream_has_taken_is_left_for_good(self) -> None:
-        """Each of 25 hosts sent requests there until its own first was refused."""
-        self.fall_silent(self.probes)
+    def test_address_of_another_upstream_is_not_probed_again(self) -> None:
+        """Guards against each of 25 hosts sending requests there until its own first is refused."""
+        self.become_unresponsive(self.probes)
         self.probes.engines.presence.return_value = Presence.REPLACED
         self.assertEqual(self.run_for(4.0), 1)
-        self.assertFalse(self.tracker.is_sound)
+        self.assertFalse(self.tracker.is_healthy)
 
-    def test_upstream_that_takes_connections_and_answers_nothing_is_probed_ever_less(self) -> None:
+    def test_upstream_that_accepts_connections_but_answers_nothing_is_probed_less_and_less(
+        self,
+    ) -> None:
         counts = []
         for _ in range(4):
             began = self.probes.count
             for _ in range(40):
-                if not self.tracker.is_silent:
+                if not self.tracker.is_unresponsive:
                     self.now += 0.5
-                    self.fall_silent(self.probes)
+                    self.become_unresponsive(self.probes)
                 self.run_for(0.1)
             counts.append(self.probes.count - began)
         self.assertLess(counts[-1], counts[0])
--- a/libs/serving/ruddersaddle_serving/trackers.py
+++ b/libs/serving/ruddersaddle_serving/trackers.py
@@ -1,4 +1,4 @@
-"""What this host knows of each upstream from its own requests."""
+"""Tracks the load, health and self-reported state of each upstream."""
 
 import logging
 from collections import deque
@@ -11,124 +11,123 @@
 from ruddersaddle_base.ids import PoolId, RequestId, UpstreamId
 
 from ruddersaddle_serving.engine_loads import EngineLoad, EngineMemory
-from ruddersaddle_serving.paces import Pace
+from ruddersaddle_serving.paces import ServiceTime
 from ruddersaddle_serving.prompts import Part
 from ruddersaddle_serving.routes import RouteTable
 from ruddersaddle_serving.self_reports import (
-    Leave,
+    LeaveNotice,
     LimitChange,
-    LimitNews,
-    Reported,
+    LimitUpdate,
+    ReportedState,
     SelfReport,
 )
-from ruddersaddle_serving.silences import TOLD_TRUST_S, Silence
+from ruddersaddle_serving.silences import REPORT_TTL_S, Liveness
 from ruddersaddle_serving.upstream_connections import UpstreamConnections
 from ruddersaddle_serving.upstream_entries import UpstreamEntry, UpstreamInstance
 
 logger = logging.getLogger(__name__)
 
 OUTCOME_WEIGHT = 0.2
-"""Weight of the newest outcome in the mean share of failures: about the last ten count."""
-FAILING_SHARE = 0.35
-"""An upstream that fails more than this share is left out while others are there. Sound
-upstreams answer up to a seventh of a kind of request with an error of their own."""
-FORGET_S = 3.0
-"""A share of failures halves in this time without requests, so that an upstream is tried again."""
-OFF_AFTER_CONNECT_S = 0.5
-"""An upstream that took no connection is left out this long, then twice as long each time."""
-OFF_MAX_S = 4.0
+"""Weight of the latest outcome in the moving failure rate, which covers about the last ten."""
+FAILURE_RATE_MAX = 0.35
+"""An upstream with a higher failure rate gets no requests while others are available. Healthy
+upstreams answer up to a seventh of some kinds of requests with an error of their own."""
+FAILURE_HALF_LIFE_S = 3.0
+"""The failure rate halves in this time without requests, so that an upstream is tried again."""
+CONNECT_BACKOFF_S = 0.5
+"""An upstream that refused a connection gets no requests for this long, doubled each time."""
+CONNECT_BACKOFF_MAX_S = 4.0
 SENDS_MAX = 1024
-"""Moments of sends that are kept for each upstream; what a host may send to a cold one in a second
-is less."""
+"""Send times recorded per upstream; a host may send fewer requests a second to a cold one."""
 REPORTED_MAX = 1000
-"""Starts without an entry of which it is kept what they said of themselves."""
-SAME_LIST_S = 0.5
-"""Two upstreams at one address that became known within this time may stand in the first list that
-a host reads, which doesn't tell the older one."""
+"""Instances without an entry whose self-reported state is retained."""
+SAME_LISTING_S = 0.5
+"""Two upstreams at one address that became known within this time may both be in the first list
+that a host reads, which doesn't say which one is older."""
 
 
 class Progress(Enum):
-    """How far a request is at its upstream."""
+    """Step of a request at its upstream, or another observation of the upstream."""
 
     SENT = 0
-    FIRST = 1
-    """Its first event came, so its prompt was read."""
+    FIRST_EVENT = 1
+    """The first event of the answer came, so the prefill is done."""
     ENDED = 2
-    REACHED = 3
+    PROBE_ANSWERED = 3
     """No request: the upstream answered a probe."""
     REPLACED = 4
     """No request: another upstream answers at its address."""
-    REPORTED = 5
-    """No step of the request: its answer said something of the upstream itself."""
+    SELF_REPORTED = 5
+    """No step of the request: its answer reported state of the upstream itself."""
 
 
-class Reach(Enum):
-    """What was heard of an upstream until a request ended."""
+class Reachability(Enum):
+    """What was received from an upstream before a request ended."""
 
-    ANSWERED = 0
+    RESPONDED = 0
     NO_CONNECTION = 1
-    NOTHING = 2
-    """It took the request, and nothing came, or its answer broke off."""
+    NO_RESPONSE = 2
+    """It accepted the request, and no response came, or the response broke off."""
 
 
 class Assignment(msgspec.Struct, frozen=True, array_like=True):
-    """What a prompt means to the engine that it is sent to."""
+    """Load that a prompt adds to the engine that it is sent to."""
 
     salt: str
     parts: tuple[Part, ...]
-    work_s: float
-    """Nominal time that reading what the engine lacks takes, in seconds."""
+    prefill_s: float
+    """Nominal prefill time of the tokens that the engine has not cached, in seconds."""
     tokens: int
     priority: int
     fetch_s: float = 0.0
-    """Time until its parts are fetched."""
+    """Time to fetch its parts from context stores."""
 
 
 class Notice(msgspec.Struct, frozen=True, array_like=True):
-    """One step of one request at an engine, as hosts tell one another."""
+    """One step of one request at an engine, as hosts send it to one another."""
 
     upstream: UpstreamId
     number: int
-    """The host's own number of the request."""
+    """Number that the sending host gave the request."""
     progress: Progress
     assignment: Assignment | None = None
     failed: bool | None = None
-    """How it ended; None where that says nothing about the upstream."""
-    reach: Reach = Reach.NOTHING
-    """What was heard of the upstream until it ended."""
+    """Whether it failed; None if its end says nothing about the upstream."""
+    reachability: Reachability = Reachability.NO_RESPONSE
+    """What was received from the upstream before it ended."""
     expected_s: float = 0.0
-    """Where it was sent: the time within which something should be heard."""
+    """With `SENT`: the time within which a response is expected."""
     born_ms: int | None = None
-    """Which start of the upstream it concerns; None where that is not told."""
-    limit: LimitNews | None = None
-    """What an answer said of the upstream's limit."""
-    leave: Leave | None = None
-    """That the upstream said that it leaves."""
+    """Identifies the instance of the upstream; None if it is unknown."""
+    limit: LimitUpdate | None = None
+    """Rate limit that an answer reported."""
+    leave: LeaveNotice | None = None
+    """Set if an answer reported that the upstream is leaving."""
 
 
 class RecentSends:
-    """When this host sent its latest requests to an upstream, on the steady clock."""
+    """Times at which this host sent its latest requests to an upstream, on the monotonic clock."""
 
     def __init__(self) -> None:
-        self._moments: deque[float] = deque(maxlen=SENDS_MAX)
+        self._sent_at: deque[float] = deque(maxlen=SENDS_MAX)
 
-    def note(self, at: float) -> None:
-        """Take that a request leaves."""
-        self._moments.append(at)
+    def record(self, at: float) -> None:
+        """Record that a request is sent."""
+        self._sent_at.append(at)
 
     def count_since(self, moment: float) -> int:
-        """Return how many requests left after a moment, up to `SENDS_MAX`."""
-        return sum(at > moment for at in self._moments)
+        """Return how many requests were sent after a moment, up to `SENDS_MAX`."""
+        return sum(at > moment for at in self._sent_at)
 
 
 class Tracker:
-    """One upstream as this host's own requests show it."""
+    """State of one upstream instance, from this host's requests and the reports of other hosts."""
 
     def __init__(
         self,
         entry: UpstreamEntry,
         memory_tokens: int = 0,
-        reported: Reported | None = None,
+        reported: ReportedState | None = None,
     ) -> None:
         self.entry = entry
         self.connections = UpstreamConnections(entry.address)
@@ -137,18 +136,18 @@
         self.memory = EngineMemory(memory_tokens)
         self.version_by_model = dict(entry.version_by_model)
         self.avoided_until = 0.0
-        """The holder of the lease has it load weights until then, on the steady clock."""
-        self.silence = Silence()
+        """Until when it is loading weights for the lease holder, on the monotonic clock."""
+        self.liveness = Liveness()
         self.sends = RecentSends()
-        self.reported = reported or Reported()
-        self._failing = 0.0
-        self._noted_at = clocks.now_s()
-        self._told_failing = 0.0
-        self._told_at = float("-inf")
-        self._refusals = 0
-        self._off_until = 0.0
+        self.reported = reported or ReportedState()
+        self._failure_rate = 0.0
+        self._outcome_at = clocks.now_s()
+        self._reported_failure_rate = 0.0
+        self._reported_at = float("-inf")
+        self._connect_failures = 0
+        self._connect_backoff_until = 0.0
         self.is_replaced = False
-        """Whether another upstream answers at its address: this start of it has ended for good."""
+        """Whether another upstream answers at its address: this instance has ended for good."""
         self.created_at = clocks.now_s()
 
     @property
@@ -157,101 +156,101 @@
         return self.entry.id
 
     @property
-    def failing_share(self) -> float:
-        """About the share of recent requests that failed, here or as others told."""
-        told_s = clocks.now_s() - self._told_at
-        told = self._told_failing if told_s < TOLD_TRUST_S else 0.0
-        return max(self.observed_failing, told)
+    def failure_rate(self) -> float:
+        """Approximate failure rate of recent requests, observed here or reported by others."""
+        age_s = clocks.now_s() - self._reported_at
+        reported = self._reported_failure_rate if age_s < REPORT_TTL_S else 0.0
+        return max(self.observed_failure_rate, reported)
 
     @property
-    def observed_failing(self) -> float:
-        """About the share of recent requests that failed, of those that this host hears of."""
-        idle_s = clocks.now_s() - self._noted_at
-        return self._failing * 0.5 ** (idle_s / FORGET_S)
+    def observed_failure_rate(self) -> float:
+        """Approximate failure rate of the recent requests that this host knows of."""
+        idle_s = clocks.now_s() - self._outcome_at
+        return self._failure_rate * 0.5 ** (idle_s / FAILURE_HALF_LIFE_S)
 
     @property
-    def is_sound(self) -> bool:
+    def is_healthy(self) -> bool:
         """Whether requests to it are likely to be answered."""
-        if self.is_replaced or clocks.now_s() < self._off_until:
+        if self.is_replaced or clocks.now_s() < self._connect_backoff_until:
             return False
-        return not self.is_silent and self.failing_share < FAILING_SHARE
+        return not self.is_unresponsive and self.failure_rate < FAILURE_RATE_MAX
 
     @property
-    def is_silent(self) -> bool:
-        """Whether it was sent requests, and no host has heard of it since."""
-        return self.silence.since(clocks.now_s()) is not None
+    def is_unresponsive(self) -> bool:
+        """Whether requests were sent to it, and no host has received anything since."""
+        return self.liveness.unresponsive_since(clocks.now_s()) is not None
 
     @property
     def is_avoided(self) -> bool:
-        """Whether it is about to load weights, or loads them."""
+        """Whether it is loading weights or about to."""
         return clocks.now_s() < self.avoided_until
 
-    def note_outcome(self, failed: bool) -> None:
-        """Count how a request ended."""
-        share = self.observed_failing
-        self._failing = share + OUTCOME_WEIGHT * (float(failed) - share)
-        self._noted_at = clocks.now_s()
+    def record_outcome(self, failed: bool) -> None:
+        """Record whether a request failed."""
+        rate = self.observed_failure_rate
+        self._failure_rate = rate + OUTCOME_WEIGHT * (float(failed) - rate)
+        self._outcome_at = clocks.now_s()
         if not failed:
-            self._refusals = 0
+            self._connect_failures = 0
 
-    def note_told_failing(self, share: float) -> None:
-        """Take about the share of failures that another host observed."""
-        self._told_failing = share
-        self._told_at = clocks.now_s()
+    def apply_failure_rate(self, rate: float) -> None:
+        """Apply the approximate failure rate that another host observed."""
+        self._reported_failure_rate = rate
+        self._reported_at = clocks.now_s()
 
-    def note_replaced(self) -> None:
-        """Take that another upstream answers at this one's address.
+    def record_replaced(self) -> None:
+        """Record that another upstream answers at this one's address.
 
-        The entry stays for some seconds. What is sent is refused at once, so that it looks idle,
-        which would draw all work to it. While each host found that alone, three restarts of a third
-        of 50 engines had 850 prompts of 5,000 refused in 9 s.
+        The entry remains for some seconds. Requests are refused immediately, so that the upstream
+        looks idle and would attract all load. Without sharing this between hosts, three restarts of
+        a third of 50 engines caused 850 of 5,000 prompts to be refused within 9 s.
         """
         if not self.is_replaced:
-            logger.info("Upstream %s is gone; another one is at its address.", self.id)
+            logger.info("Upstream %s is gone; another upstream answers at its address.", self.id)
         self.is_replaced = True
 
-    def note_no_connection(self) -> None:
-        """Count a connection that did not come about."""
-        off_s = min(OFF_MAX_S, OFF_AFTER_CONNECT_S * 2**self._refusals)
-        self._refusals += 1
-        self._off_until = clocks.now_s() + off_s
+    def record_connect_failure(self) -> None:
+        """Record that no connection could be opened."""
+        backoff_s = min(CONNECT_BACKOFF_MAX_S, CONNECT_BACKOFF_S * 2**self._connect_failures)
+        self._connect_failures += 1
+        self._connect_backoff_until = clocks.now_s() + backoff_s
 
-    def take_notice(self, host: str, notice: Notice) -> None:
-        """Take how far a request of this host or another one is."""
+    def apply_notice(self, host: str, notice: Notice) -> None:
+        """Apply a notice of this host or of another one."""
         if (
             None not in (notice.born_ms, self.entry.born_ms)
             and notice.born_ms != self.entry.born_ms
         ):
-            # Said of the end of an earlier start, it would take this one out for good.
+            # A notice that an earlier instance was replaced would exclude this one for good.
             return
         number = (host, notice.number)
         now = clocks.now_s()
         match notice.progress:
             case Progress.SENT:
-                self.silence.note_sent(number, now, notice.expected_s)
+                self.liveness.record_sent(number, now, notice.expected_s)
                 if notice.assignment is not None:
                     self._add_load(number, notice.assignment)
-            case Progress.FIRST:
-                self.silence.note_heard(now)
-                self.load.note_first(number)
+            case Progress.FIRST_EVENT:
+                self.liveness.record_response(now)
+                self.load.record_first_event(number)
             case Progress.ENDED:
-                self._note_reach(number, notice.reach, now)
+                self._record_reachability(number, notice.reachability, now)
                 self.load.end(number)
                 if notice.failed is not None:
-                    self.note_outcome(notice.failed)
-            case Progress.REACHED:
-                self.silence.note_heard(now)
+                    self.record_outcome(notice.failed)
+            case Progress.PROBE_ANSWERED:
+                self.liveness.record_response(now)
             case Progress.REPLACED:
-                self.note_replaced()
-            case Progress.REPORTED:
-                self.take_limit(notice.limit, host, is_first_hand=True)
+                self.record_replaced()
+            case Progress.SELF_REPORTED:
+                self.apply_limit(notice.limit, host, is_first_hand=True)
 
     def _add_load(self, number: tuple[str, int], assignment: Assignment) -> None:
-        self.memory.use(assignment.salt, assignment.parts)
+        self.memory.record_use(assignment.salt, assignment.parts)
         self.load.add(
             number,
             assignment.priority,
-            assignment.work_s,
+            assignment.prefill_s,
             assignment.tokens,
             assignment.fetch_s,
             self.memory.capacity_tokens,
@@ -259,79 +258,86 @@
             assignment.parts,
         )
 
-    def hear(
+    def apply_self_report(
         self, report: SelfReport, request: RequestId | None, is_ordinary: bool
     ) -> Notice | None:
-        """Take what an answer to this host says of the upstream; return what all hosts should know.
+        """Apply what an answer reports of the upstream; return the notice for all hosts.
 
-        `request` is None where the answer is to a call of this host's own.
+        `request` is None if the answer is to one of this host's own calls.
         """
-        self._take_rest(report.rest_s, request)
+        self._apply_backoff(report.backoff_s, request)
         if isinstance(report.limit_per_s, Failure):
-            self._warn_unreadable(report.limit_per_s, request)
-        limit = self.reported.rate_limit.after(report, request, is_ordinary)
+            self._warn_malformed(report.limit_per_s, request)
+        limit = self.reported.rate_limit.update_from(report, request, is_ordinary)
         if limit is None and not report.leaving:
             return None
-        start = self.entry.instance
-        leave = Leave(request) if report.leaving else None
+        instance = self.entry.instance
+        leave = LeaveNotice(request) if report.leaving else None
         return Notice(
-            start.id, 0, Progress.REPORTED, born_ms=start.born_ms, limit=limit, leave=leave
+            instance.id,
+            0,
+            Progress.SELF_REPORTED,
+            born_ms=instance.born_ms,
+            limit=limit,
+            leave=leave,
         )
 
-    def _take_rest(self, rest_s: float | Failure, request: RequestId | None) -> None:
-        if isinstance(rest_s, Failure):
-            self._warn_unreadable(rest_s, request)
-        elif self.reported.rest(rest_s):
+    def _apply_backoff(self, backoff_s: float | Failure, request: RequestId | None) -> None:
+        if isinstance(backoff_s, Failure):
+            self._warn_malformed(backoff_s, request)
+        elif self.reported.back_off(backoff_s):
             logger.info(
-                "Upstream %s wants nothing for %.1f s.",
+                "Upstream %s asked for a backoff of %.1f s.",
                 self.entry.instance,
-                rest_s,
+                backoff_s,
                 extra={"request": request},
             )
 
-    def _warn_unreadable(self, failure: Failure, request: RequestId | None) -> None:
+    def _warn_malformed(self, failure: Failure, request: RequestId | None) -> None:
         logger.warning(
-            "Answer of upstream %s can't be read: %s.",
+            "Self-report in an answer of upstream %s is malformed: %s.",
             self.entry.instance,
             failure.detail,
             extra={"request": request},
         )
 
-    def take_limit(self, news: LimitNews | None, teller: str, is_first_hand: bool) -> None:
-        """Take what the upstream said of its limit, as a host tells, first hand or not."""
+    def apply_limit(self, news: LimitUpdate | None, reporter: str, is_first_hand: bool) -> None:
+        """Apply the upstream's rate limit as reported by a host, first hand or not."""
         if news is None:
             return
-        change = self.reported.rate_limit.take(news, is_first_hand)
+        change = self.reported.rate_limit.apply(news, is_first_hand)
         if change is not LimitChange.NONE:
             logger.info(
-                "Limit of upstream %s has %s: %.2f requests a second.",
+                "Rate limit of upstream %s has %s: %.2f requests a second.",
                 self.entry.instance,
                 change.value,
                 news.per_s,
                 extra={
                     "request": news.request,
-                    "told_by": teller,
+                    "told_by": reporter,
                     "told_age_ms": round(news.age_s * 1000),
                 },
             )
 
-    def _note_reach(self, number: tuple[str, int], reach: Reach, now: float) -> None:
-        match reach:
-            case Reach.ANSWERED:
-                self.silence.note_heard(now)
-            case Reach.NO_CONNECTION:
-                self.silence.note_unreached(number)
-            case Reach.NOTHING:
-                self.silence.note_left(number, now)
-
-    def take_entry(self, entry: UpstreamEntry) -> None:
-        """Take a newer entry; versions of weights never go back within one start."""
+    def _record_reachability(
+        self, number: tuple[str, int], reachability: Reachability, now: float
+    ) -> None:
+        match reachability:
+            case Reachability.RESPONDED:
+                self.liveness.record_response(now)
+            case Reachability.NO_CONNECTION:
+                self.liveness.record_connect_failure(number)
+            case Reachability.NO_RESPONSE:
+                self.liveness.record_abandoned(number, now)
+
+    def apply_entry(self, entry: UpstreamEntry) -> None:
+        """Apply a newer entry; versions of weights never go back within one instance."""
         self.entry = entry
         for model, version in entry.version_by_model.items():
-            self.take_version(model, version)
+            self.record_version(model, version)
 
-    def take_version(self, model: str, version: int) -> None:
-        """Take that the upstream has these weights of a model now."""
+    def record_version(self, model: str, version: int) -> None:
+        """Record that the upstream has loaded these weights of a model."""
         known = self.version_by_model.get(model, 0)
         if version > known:
             self.version_by_model[model] = version
@@ -343,12 +349,13 @@
 
     def __init__(self) -> None:
         self.by_id: dict[UpstreamId, Tracker] = {}
-        self._reported_by_start: dict[UpstreamInstance, Reported] = {}
-        """What starts said whose entries were taken out, the latest last; entries come back."""
+        self._reported_by_instance: dict[UpstreamInstance, ReportedState] = {}
+        """State reported by instances whose entries were removed, latest last; entries may
+        return."""
         self._memory_by_pool: dict[PoolId, int] = {}
 
-    def take_table(self, table: RouteTable) -> None:
-        """Take the size of engines' memory from a configuration."""
+    def apply_table(self, table: RouteTable) -> None:
+        """Apply the memory sizes of engines from a configuration."""
         self._memory_by_pool = {
             pool.id: pool.engine.cache_tokens
             for pool in table.published.pools
@@ -360,40 +367,42 @@
     def _memory_tokens(self, entry: UpstreamEntry) -> int:
         return self._memory_by_pool.get(entry.pool, 0)
 
-    def at(self, entry: UpstreamEntry) -> Tracker:
-        """Return the tracker of an entry."""
+    def get_or_create(self, entry: UpstreamEntry) -> Tracker:
+        """Return the tracker of an entry; a new instance gets a new one."""
         tracker = self.by_id.get(entry.id)
         if tracker is None or entry.is_later_than(tracker.entry):
-            # Nothing that is known of an earlier start holds for this one. Runs that are still
-            # under way there keep the tracker that they began with.
+            # State of an earlier instance doesn't apply to this one. Requests in flight keep the
+            # tracker that they started with.
             if tracker is not None:
                 tracker.connections.close()
-            reported = self._reported_by_start.pop(entry.instance, None)
+            reported = self._reported_by_instance.pop(entry.instance, None)
             tracker = Tracker(entry, self._memory_tokens(entry), reported)
-            tracker.load.pace = self._usual_pace(entry.pool)
-            self._note_predecessors(tracker)
+            tracker.load.service_time = self._typical_service_time(entry.pool)
+            self._mark_predecessors_replaced(tracker)
             self.by_id[entry.id] = tracker
         elif tracker.entry is not entry:
-            tracker.take_entry(entry)
+            tracker.apply_entry(entry)
         return tracker
 
-    def _note_predecessors(self, tracker: Tracker) -> None:
-        """Take that what was at the address of a new upstream has ended."""
+    def _mark_predecessors_replaced(self, tracker: Tracker) -> None:
+        """Mark upstreams as replaced that were at the address of a new one."""
         for each in self.by_id.values():
-            is_older = tracker.created_at - each.created_at > SAME_LIST_S
+            is_older = tracker.created_at - each.created_at > SAME_LISTING_S
             if is_older and each.entry.address == tracker.entry.address:
-                each.note_replaced()
-
-    def _usual_pace(self, pool: PoolId) -> Pace:
-        """Return the middle pace of a pool's engines, with which a new one begins."""
-        paces = [each.load.pace for each in self.by_id.values() if each.entry.pool == pool]
-        if not paces:
-            return Pace()
-        factor = median_low([pace.factor for pace in paces])
-        return Pace(factor, median_low([pace.start_s for pace in paces]))
+                each.record_replaced()
+
+    def _typical_service_time(self, pool: PoolId) -> ServiceTime:
+        """Return the median service time of a pool's engines, the initial value for a new one."""
+        service_times = [
+            each.load.service_time for each in self.by_id.values() if each.entry.pool == pool
+        ]
+        if not service_times:
+            return ServiceTime()
+        factor = median_low([each.factor for each in service_times])
+        return ServiceTime(factor, median_low([each.overhead_s for each in service_times]))
 
     def keep_only(self, upstreams: set[UpstreamId]) -> None:
-        """Forget upstreams that are gone and have no request under way."""
+        """Remove upstreams that are gone and have no request in flight."""
         for gone in set(self.by_id) - upstreams:
             if not self.by_id[gone].in_flight:
                 self._forget(self.by_id.pop(gone))
@@ -401,9 +410,9 @@
     def _forget(self, tracker: Tracker) -> None:
         tracker.connections.close()
         if tracker.reported.is_bounding:
-            self._reported_by_start[tracker.entry.instance] = tracker.reported
-        if len(self._reported_by_start) > REPORTED_MAX:
-            del self._reported_by_start[next(iter(self._reported_by_start))]
+            self._reported_by_instance[tracker.entry.instance] = tracker.reported
+        if len(self._reported_by_instance) > REPORTED_MAX:
+            del self._reported_by_instance[next(iter(self._reported_by_instance))]
 
     def close_expired(self) -> None:
         """Close idle connections that are too old."""
--- a/libs/serving/ruddersaddle_serving/upstream_lists.py
+++ b/libs/serving/ruddersaddle_serving/upstream_lists.py
@@ -167,7 +167,7 @@
             return
         if entry.heartbeat is not None:
             # A change of the entry is told to all hosts; a heartbeat is none.
-            self.cold.take(entry.instance, entry.heartbeat)
+            self.cold.apply(entry.instance, entry.heartbeat)
             entry = msgspec.structs.replace(entry, heartbeat=None)
         self._lapse_at_by_id.pop(entry.id, None)
         self._gone.pop(entry.instance, None)
--- a/libs/serving/ruddersaddle_serving/weight_rollouts.py
+++ b/libs/serving/ruddersaddle_serving/weight_rollouts.py
@@ -132,7 +132,7 @@
         """Return the engines that serve a model and are not leaving."""
         entries = self.upstreams.by_id.values()
         found = [each for each in entries if model in each.version_by_model and not each.leaving]
-        return [self.trackers.at(entry) for entry in found]
+        return [self.trackers.get_or_create(entry) for entry in found]
 
     def _free_slots(self, model: ModelId, engines: list[Tracker], outdated: list[Tracker]) -> int:
         """Return how many more engines may start loading: no more than the remaining time requires.
@@ -245,7 +245,7 @@
             if isinstance(report, Failure):
                 continue
             if report.version_by_model.get(model, 0) >= version:
-                tracker.take_version(model, report.version_by_model[model])
+                tracker.record_version(model, report.version_by_model[model])
                 return True
             if not report.loading and clocks.now_s() - began > ORDER_RETRY_S:
                 return False
--- a/libs/standins/ruddersaddle_standins/capacities.py
+++ b/libs/standins/ruddersaddle_standins/capacities.py
@@ -26,7 +26,7 @@
     WorkspaceId,
     join_position,
 )
-from ruddersaddle_routing.choices import Chooser, Kept, Prompt
+from ruddersaddle_routing.choices import Chooser, Prompt, StoredChain
 from ruddersaddle_routing.limits import AdaptiveLimit
 from ruddersaddle_routing.loads import Load
 from ruddersaddle_routing.rendezvous import rank_names
@@ -34,7 +34,7 @@
 from ruddersaddle_state.claims import Claims
 from ruddersaddle_state.configurations import Configuration
 from ruddersaddle_state.entries import Workspace, entry_key
-from ruddersaddle_state.records import Change, Claim, Edit, Placed
+from ruddersaddle_state.records import Change, Claim, Edit, PositionedRecord
 from ruddersaddle_upstreams.chains import block_keys
 from ruddersaddle_upstreams.connections import OK
 
@@ -119,7 +119,7 @@
         record = RecordId(f"{number:032x}")
         owner = Incarnation(f"host-{number % 6}.abcdef012345")
         claim = Claim(record, key, owner, START, time.time())
-        claims.apply(Placed(join_position(number, 0), 1.0, claim))
+        claims.apply(PositionedRecord(join_position(number, 0), 1.0, claim))
     return claims
 
 
@@ -131,7 +131,7 @@
         value = Workspace(WorkspaceId(f"workspace-{number}"), (f"{number:064x}",))
         edit = Edit(entry_key(value), START, value)
         change = Change(RecordId(f"{number:032x}"), "operator", (edit,))
-        configuration.apply(Placed(join_position(number, 0), 1.0, change))
+        configuration.apply(PositionedRecord(join_position(number, 0), 1.0, change))
     return configuration
 
 
@@ -148,7 +148,7 @@
     """Return a load that knows so many cached blocks."""
     load = new_load("engine")
     for number in range(count):
-        load.take_event(True, BlockKey(f"{number:032x}"))
+        load.apply_event(True, BlockKey(f"{number:032x}"))
     return load
 
 
@@ -173,7 +173,7 @@
     prompt = Prompt(2500, (), lambda _version: keys)
     chooser = Chooser.from_name("predicted", 8000.0)
     for _ in range(100):
-        chooser.choose(loads, prompt, Kept(20, 0.001, 0.0))
+        chooser.choose(loads, prompt, StoredChain(20, 0.001, 0.0))
 
 
 def rank(count: int) -> None:
--- a/libs/state/ruddersaddle_state/appenders.py
+++ b/libs/state/ruddersaddle_state/appenders.py
@@ -1,4 +1,4 @@
-"""A task for each stream that appends what waits as one batch, one append in flight at a time."""
+"""A task for each stream that appends pending records in batches, one append at a time."""
 
 import logging
 import time
@@ -17,33 +17,33 @@
 logger = logging.getLogger(__name__)
 
 DOWN_AFTER_S = 1.0
-"""Once appends have failed for this long, callers are told so at once, in seconds."""
+"""Once appends have failed for this long, in seconds, callers get an error at once."""
 
 
 PROBE_S = 0.5
-"""While appends fail, an empty one is tried this often, in seconds, so that the end is noticed."""
+"""While appends fail, an empty append is tried at this interval, in seconds, to detect recovery."""
 
-GiveUp = Callable[[RecordId], None]
+NotAppendedCallback = Callable[[RecordId], None]
 
 
-class Waiting(NamedTuple):
-    """A record that waits for its append, and whom to tell if it can't have landed."""
+class PendingAppend(NamedTuple):
+    """A record to be appended, and the callback for the case that it cannot have been appended."""
 
     record: Record
-    give_up: GiveUp | None
+    on_not_appended: NotAppendedCallback | None
 
 
 class Appender:
-    """Group commit on one stream: the rate of appends is bounded by one over the latency."""
+    """Group commit on one stream: at most one append per round trip to the log."""
 
-    def __init__(self, client: LogClient, stream: Stream, gathers: bool = True) -> None:
+    def __init__(self, client: LogClient, stream: Stream, batching: bool = True) -> None:
         self.client = client
         self.stream = stream
-        self.batch_max = BATCH_MAX if gathers else 1
+        self.batch_max = BATCH_MAX if batching else 1
         self.appends = 0
         self.records = 0
         self.failing_since: float | None = None
-        self._waiting: deque[Waiting] = deque()
+        self._pending: deque[PendingAppend] = deque()
         self._wake: Signal = Signal()
 
     def start(self) -> None:
@@ -52,25 +52,25 @@
 
     @property
     def down(self) -> bool:
-        """Whether appends have been failing for a while."""
+        """Whether appends have been failing for `DOWN_AFTER_S`."""
         if self.failing_since is None:
             return False
         return time.monotonic() - self.failing_since >= DOWN_AFTER_S
 
-    def post(self, record: Record, give_up: GiveUp | None = None) -> None:
-        """Append a record with whatever else waits; its fate is learned by reading it back.
+    def post(self, record: Record, on_not_appended: NotAppendedCallback | None = None) -> None:
+        """Append a record together with others that are pending; its result is read from the log.
 
-        `give_up` is called if the append can't have taken effect, and only then.
+        `on_not_appended` is called only if the append cannot have taken effect.
         """
-        self._waiting.append(Waiting(record, give_up))
-        self._wake_up()
+        self._pending.append(PendingAppend(record, on_not_appended))
+        self._signal_work()
 
     def withdraw(self, record: Record) -> None:
-        """Drop a record that still waits; one that is on its way may land."""
-        kept = [each for each in self._waiting if each.record is not record]
-        self._waiting = deque(kept)
+        """Drop a record that is still pending; one in flight may be appended."""
+        remaining = [each for each in self._pending if each.record is not record]
+        self._pending = deque(remaining)
 
-    def _wake_up(self) -> None:
+    def _signal_work(self) -> None:
         if not self._wake.ready():
             self._wake.send(None)
 
@@ -78,11 +78,11 @@
         while True:
             if not self._await_work():
                 self._append_batch()
-            while self._waiting:
+            while self._pending:
                 self._append_batch()
 
     def _await_work(self) -> bool:
-        """Wait for records; return False when it is time to probe a log that fails."""
+        """Wait for records; return False when it is time to probe a failing log."""
         pause_s = None if self.failing_since is None else PROBE_S
         with eventlet.Timeout(pause_s, False):
             self._wake.wait()
@@ -92,17 +92,17 @@
         return True
 
     def _append_batch(self) -> None:
-        count = min(self.batch_max, len(self._waiting))
-        taken = [self._waiting.popleft() for _ in range(count)]
-        batch = Batch(tuple(each.record for each in taken))
+        count = min(self.batch_max, len(self._pending))
+        pending = [self._pending.popleft() for _ in range(count)]
+        batch = Batch(tuple(each.record for each in pending))
         reply = self.client.append(self.stream, batch)
         self.appends += 1
         self.records += count
-        self._note(reply)
+        self._track_failure(reply)
         if isinstance(reply, Failure) and reply.ran is Ran.NOT_RUN:
-            _give_up(taken)
+            _notify_not_appended(pending)
 
-    def _note(self, reply: int | Failure) -> None:
+    def _track_failure(self, reply: int | Failure) -> None:
         if not isinstance(reply, Failure):
             self.failing_since = None
         elif self.failing_since is None:
@@ -110,7 +110,7 @@
             self.failing_since = time.monotonic()
 
 
-def _give_up(taken: list[Waiting]) -> None:
-    for each in taken:
-        if each.give_up is not None:
-            each.give_up(each.record.id)
+def _notify_not_appended(pending: list[PendingAppend]) -> None:
+    for each in pending:
+        if each.on_not_appended is not None:
+            each.on_not_appended(each.record.id)
--- a/libs/state/ruddersaddle_state/configurations.py
+++ b/libs/state/ruddersaddle_state/configurations.py
@@ -1,8 +1,8 @@
-"""The fold of the configuration stream: same records, same state, on every host.
+"""The fold of the configuration stream: the same records give the same state on every host.
 
-State never goes back: it carries its position, and neither a snapshot nor a peer's state with a
-lower position is taken over it. A fold that misses earlier records is incomplete: it holds new
-records back until a snapshot covers what it misses.
+State never moves backwards: it carries its position, and a snapshot or a peer's state with a lower
+position does not replace it. A fold that lacks earlier records is incomplete: it holds back new
+records until a snapshot covers the gap.
 """
 
 import logging
@@ -25,17 +25,17 @@
     Change,
     Edit,
     Entry,
-    Fate,
     Outcome,
-    Placed,
+    PositionedRecord,
+    RecordResult,
     Snapshot,
 )
 
 logger = logging.getLogger(__name__)
 
 DIGEST_BYTES = 8
-FATES_MAX = 2000
-"""Fates of changes that are remembered for operators who ask."""
+RESULTS_MAX = 2000
+"""Results of changes that are remembered for operators' queries."""
 
 
 class Configuration:
@@ -47,48 +47,53 @@
         self._value_by_name_by_kind: dict[type, dict[str, Value]] = {}
         self.position = START
         self.complete = False
-        self.snapshot_seen = START
-        self.fate_by_id: dict[RecordId, Fate] = {}
-        self._waiting: list[Placed] = []
-        self._waiting_from = START
+        self.last_snapshot = START
+        self.result_by_id: dict[RecordId, RecordResult] = {}
+        self._held_back: list[PositionedRecord] = []
+        self._held_back_from = START
 
     def begin(self, first: Position, gap: bool) -> None:
-        """Start reading at `first`; a gap means that records before it are gone."""
+        """Start reading at `first`; a gap means that earlier records are no longer in the log."""
         if not gap:
             self.complete = True
             return
         logger.warning("Records are missing before position %d.", first)
         self.complete = False
-        self._waiting = []
-        self._waiting_from = first
-
-    def apply(self, placed: Placed) -> Fate:
-        """Fold one record and return its fate."""
-        if placed.position <= self.position:
-            return self.fate_by_id.get(placed.record.id, Fate(Outcome.STALE, placed.position))
-        if isinstance(placed.record, Snapshot):
-            return self._apply_snapshot(placed, placed.record)
+        self._held_back = []
+        self._held_back_from = first
+
+    def apply(self, positioned: PositionedRecord) -> RecordResult:
+        """Fold one record and return its result."""
+        if positioned.position <= self.position:
+            return self.result_by_id.get(
+                positioned.record.id, RecordResult(Outcome.STALE, positioned.position)
+            )
+        if isinstance(positioned.record, Snapshot):
+            return self._apply_snapshot(positioned, positioned.record)
         if not self.complete:
-            self._waiting.append(placed)
-            return Fate(Outcome.HELD, placed.position, "waiting for a snapshot")
-        return self._apply_change(placed)
+            self._held_back.append(positioned)
+            return RecordResult(Outcome.HELD, positioned.position, "waiting for a snapshot")
+        return self._apply_change(positioned)
 
-    def _apply_snapshot(self, placed: Placed, snapshot: Snapshot) -> Fate:
-        self.snapshot_seen = placed.position
+    def _apply_snapshot(self, positioned: PositionedRecord, snapshot: Snapshot) -> RecordResult:
+        self.last_snapshot = positioned.position
         if self.complete:
-            self.position = placed.position
-            return Fate(Outcome.ACCEPTED, placed.position)
+            self.position = positioned.position
+            return RecordResult(Outcome.ACCEPTED, positioned.position)
         if not self.adopt(snapshot):
-            return Fate(Outcome.STALE, placed.position, "does not cover what is missing")
-        self.position = placed.position
-        return Fate(Outcome.ACCEPTED, placed.position)
+            return RecordResult(
+                Outcome.STALE, positioned.position, "does not cover what is missing"
+            )
+        self.position = positioned.position
+        return RecordResult(Outcome.ACCEPTED, positioned.position)
 
     def adopt(self, snapshot: Snapshot) -> bool:
-        """Take over a whole state, and fold what was read after it; return whether it was taken.
+        """Replace the state by a snapshot, then fold the held-back records; return whether it was.
 
-        It isn't if ours is newer, or if it leaves a gap before what was read.
+        A snapshot is not adopted if it is older than the state, or if it leaves a gap before the
+        records that were held back.
         """
-        covers = split_offset(snapshot.upto) >= split_offset(self._waiting_from) - 1
+        covers = split_offset(snapshot.upto) >= split_offset(self._held_back_from) - 1
         if snapshot.upto < self.position or not covers:
             return False
         self.by_key = {}
@@ -98,34 +103,36 @@
             self._put(entry)
         self.position = snapshot.upto
         self.complete = True
-        waiting, self._waiting = self._waiting, []
-        for placed in waiting:
-            self.apply(placed)
+        held_back, self._held_back = self._held_back, []
+        for positioned in held_back:
+            self.apply(positioned)
         return True
 
-    def _apply_change(self, placed: Placed) -> Fate:
-        self.position = placed.position
-        record = placed.record
+    def _apply_change(self, positioned: PositionedRecord) -> RecordResult:
+        self.position = positioned.position
+        record = positioned.record
         if not isinstance(record, Change):
-            return Fate(Outcome.REJECTED, placed.position, "not a record of this stream")
-        known = self.fate_by_id.get(record.id)
+            return RecordResult(
+                Outcome.REJECTED, positioned.position, "not a record of this stream"
+            )
+        known = self.result_by_id.get(record.id)
         if known is not None:
             return known
-        fate = self._decide(record, placed.position)
-        self._remember(record.id, fate)
-        return fate
+        result = self._apply_edits(record, positioned.position)
+        self._record_result(record.id, result)
+        return result
 
-    def _decide(self, change: Change, position: Position) -> Fate:
+    def _apply_edits(self, change: Change, position: Position) -> RecordResult:
         for edit in change.edits:
             reason = self.check_edit(edit)
             if reason:
-                return Fate(Outcome.REJECTED, position, reason)
+                return RecordResult(Outcome.REJECTED, position, reason)
         for edit in change.edits:
             self._put(Entry(edit.key, position, edit.value, change.id))
-        return Fate(Outcome.ACCEPTED, position)
+        return RecordResult(Outcome.ACCEPTED, position)
 
     def _put(self, entry: Entry) -> None:
-        """Set an entry, and keep the values by kind and the callers' keys in step."""
+        """Set an entry, and update the indexes of values by kind and of workspaces by digest."""
         old = self.by_key.get(entry.key)
         if old is not None and old.value is not None:
             self._remove(old.value)
@@ -147,7 +154,7 @@
                 del self.workspace_by_digest[digest]
 
     def check_edit(self, edit: Edit) -> str | None:
-        """Return why an edit can't be taken on this state, or None."""
+        """Return why an edit cannot be applied to this state, or None."""
         current = self.by_key.get(edit.key)
         version = START if current is None else current.version
         if edit.base != version:
@@ -156,12 +163,12 @@
         if edit.value is None:
             return None
         if entry_key(edit.value) != edit.key:
-            return f"{edit.key}: holds a value of another name"
+            return f"{edit.key}: the value's kind and id do not match the key"
         wrong = check_value(edit.value) or self._check_digests(edit.value)
         return f"{edit.key}: {wrong}" if wrong else None
 
     def _check_digests(self, value: Value) -> str | None:
-        """Return why a workspace can't have its callers' keys, or None."""
+        """Return why a workspace cannot have its callers' keys, or None."""
         if not isinstance(value, Workspace):
             return None
         for digest in value.key_digests:
@@ -170,28 +177,28 @@
                 return "expected callers' keys that no other workspace has"
         return None
 
-    def _remember(self, record: RecordId, fate: Fate) -> None:
-        self.fate_by_id[record] = fate
-        if len(self.fate_by_id) > FATES_MAX:
-            del self.fate_by_id[next(iter(self.fate_by_id))]
+    def _record_result(self, record: RecordId, result: RecordResult) -> None:
+        self.result_by_id[record] = result
+        if len(self.result_by_id) > RESULTS_MAX:
+            del self.result_by_id[next(iter(self.result_by_id))]
 
     def snapshot(self) -> Snapshot:
-        """Return the whole state as a record."""
+        """Return the complete state as a snapshot record."""
         ordered = tuple(self.by_key[key] for key in sorted(self.by_key))
         return Snapshot(new_record_id(), self.position, ordered)
 
     def digest(self) -> str:
-        """Return a digest of all entries, for comparing hosts."""
+        """Return a digest of all entries, to compare hosts."""
         entries = encode_json(self.snapshot().entries)
         return blake2b(entries, digest_size=DIGEST_BYTES).hexdigest()
 
     def version(self, key: EntryKey) -> Position:
-        """Return the version that an edit of `key` has to name as its base."""
+        """Return the version that an edit of `key` must have as its base."""
         entry = self.by_key.get(key)
         return START if entry is None else entry.version
 
     def values(self, kind: type) -> list:
-        """Return the present values of one kind, by name."""
+        """Return the current values of one kind, sorted by name."""
         by_name = self._value_by_name_by_kind.get(kind, {})
         return [by_name[name] for name in sorted(by_name)]
 
@@ -201,7 +208,7 @@
 
 
 def check_references(configuration: Configuration) -> list[str]:
-    """Return a sentence for each entry that names one which isn't there."""
+    """Return a message for each entry that refers to one that does not exist."""
     problems = []
     for event in configuration.values(Event):
         if configuration.get(Template, event.template) is None:
--- a/libs/state/ruddersaddle_state/tests/test_claims.py
+++ b/libs/state/ruddersaddle_state/tests/test_claims.py
@@ -1,11 +1,11 @@
-"""Tests of the claims' fold; every interleaving of a small case is searched by `claim_models`."""
+"""Tests of the fold of claims; `claim_models` searches every interleaving of a small case."""
 
 import unittest
 
 from ruddersaddle_base.ids import START, CallKey, Incarnation, Position, RecordId
 
 from ruddersaddle_state.claims import Claims
-from ruddersaddle_state.records import Claim, Outcome, Placed, Void
+from ruddersaddle_state.records import Claim, Outcome, PositionedRecord, Void
 
 KEY = CallKey("clinic/1")
 
@@ -25,9 +25,9 @@
         self.next = 0
 
     def apply(self, record, time=1000.0):
-        fate = self.claims.apply(Placed(Position(self.next), time, record))
+        result = self.claims.apply(PositionedRecord(Position(self.next), time, record))
         self.next += 1
-        return fate.outcome
+        return result.outcome
 
     def test_the_first_claim_wins_and_a_duplicate_of_it_changes_nothing(self):
         self.assertEqual(self.apply(claim("a")), Outcome.ACCEPTED)
@@ -35,7 +35,7 @@
         self.assertEqual(self.apply(claim("a")), Outcome.ACCEPTED)
         self.assertEqual(self.claims.owner_of(KEY), "host-a.1")
 
-    def test_a_void_blocks_a_claim_that_lands_after_it(self):
+    def test_a_void_blocks_a_claim_that_is_appended_after_it(self):
         self.assertEqual(self.apply(void("a")), Outcome.ACCEPTED)
         self.assertEqual(self.apply(claim("a")), Outcome.STALE)
         self.assertIsNone(self.claims.owner_of(KEY))
@@ -50,12 +50,12 @@
         self.apply(claim("a"))
         self.assertEqual(self.apply(void("b")), Outcome.HELD)
 
-    def test_a_forgotten_key_never_runs_again(self):
+    def test_an_expired_key_never_runs_again(self):
         self.apply(claim("a"))
         self.assertEqual(self.apply(claim("b", dated=1000.0), time=1061.0), Outcome.EXPIRED)
         self.assertEqual(self.apply(void("b", dated=1000.0), time=1061.0), Outcome.EXPIRED)
 
-    def test_forgotten_keys_take_no_memory(self):
+    def test_expired_keys_are_dropped(self):
         for number in range(50):
             key = CallKey(f"clinic/{number}")
             record = Claim(RecordId(str(number)), key, Incarnation("h.1"), START, 1000.0 + number)
@@ -64,12 +64,12 @@
         self.apply(claim("last", dated=1070.0), time=1070.0)
         self.assertEqual(len(self.claims.by_key), 41)
 
-    def test_after_a_gap_keys_from_before_it_are_not_judged(self):
+    def test_after_a_gap_earlier_keys_are_not_decided(self):
         self.claims.begin(Position(5), True)
         self.next = 5
         self.apply(claim("z", dated=2000.0), time=2000.0)
-        self.assertFalse(self.claims.is_known(2000.5))
-        self.assertTrue(self.claims.is_known(2001.5))
+        self.assertFalse(self.claims.has_full_history(2000.5))
+        self.assertTrue(self.claims.has_full_history(2001.5))
 
 
 if __name__ == "__main__":
