--- a/libs/serving/ruddersaddle_serving/attempts.py
+++ b/libs/serving/ruddersaddle_serving/attempts.py
@@ -109,13 +109,13 @@
         if head.request != self.request.id:
             return self._invalid("the answer belongs to another request")
         if head.encoded:
-            return self._invalid("the body is encoded, which nobody asked for")
+            return self._invalid("the body has a Content-Encoding, which was not requested")
         if head.status in NOT_RUN_STATUSES:
-            return self._invalid(f"status {head.status} without word that it did not run")
+            return self._invalid(f"status {head.status} without a statement that it did not run")
         if 200 <= head.status < 300 and not head.has_receipt:
-            return self._invalid("a success without its receipt")
+            return self._invalid("a success status without a receipt")
         if head.status < 200 or 300 <= head.status < 400:
-            return self._invalid(f"status {head.status}")
+            return self._invalid(f"unexpected status {head.status}")
         return head
 
     def _refusal(self, head: AnswerHead) -> Failure:
--- a/libs/serving/ruddersaddle_serving/caller_bodies.py
+++ b/libs/serving/ruddersaddle_serving/caller_bodies.py
@@ -16,7 +16,9 @@
     source = environ["eventlet.input"]
     try:
         if (source.content_length or 0) > bytes_max:
-            return _refuse(Code.TOO_LARGE, f"{source.content_length} bytes, at most {bytes_max}")
+            return _refuse(
+                Code.TOO_LARGE, f"body of {source.content_length} bytes, limit is {bytes_max}"
+            )
         _send_continue(source)
         if source.chunked_input:
             body = _read_chunks(source.rfile, bytes_max)
@@ -25,7 +27,7 @@
             return body
         return _read_sized(source)
     except (OSError, ValueError) as error:
-        return _refuse(Code.BAD_REQUEST, f"the body broke off: {error}")
+        return _refuse(Code.BAD_REQUEST, f"reading the body failed: {error}")
 
 
 def _send_continue(source: Any) -> None:
@@ -45,7 +47,7 @@
     length = source.content_length or 0
     body = source.read(length) if length else b""
     if len(body) < length:
-        return _refuse(Code.BAD_REQUEST, "the body is shorter than its length")
+        return _refuse(Code.BAD_REQUEST, "the body is shorter than its Content-Length")
     return body
 
 
@@ -55,16 +57,16 @@
     while True:
         match = CHUNK_SIZE.match(file.readline(LINE_BYTES_MAX))
         if match is None:
-            return _refuse(Code.BAD_REQUEST, "a chunk has no size")
+            return _refuse(Code.BAD_REQUEST, "a chunk has no valid size line")
         size = int(match.group(1), 16)
         if size == 0:
             return b"".join(parts) if _skip_trailers(file) else _refuse_trailers()
         total += size
         if total > bytes_max:
-            return _refuse(Code.TOO_LARGE, f"over {bytes_max} bytes")
+            return _refuse(Code.TOO_LARGE, f"body exceeds the limit of {bytes_max} bytes")
         data = file.read(size)
         if len(data) < size or file.read(2) != b"\r\n":
-            return _refuse(Code.BAD_REQUEST, "a chunk does not end where its size says")
+            return _refuse(Code.BAD_REQUEST, "the length of a chunk differs from its size line")
         parts.append(data)
 
 
@@ -79,7 +81,7 @@
 
 
 def _refuse_trailers() -> Failure:
-    return _refuse(Code.BAD_REQUEST, "the trailers do not end")
+    return _refuse(Code.BAD_REQUEST, "the trailers are too long or not terminated")
 
 
 def _refuse(code: Code, detail: str) -> Failure:
--- a/libs/serving/ruddersaddle_serving/caller_listeners.py
+++ b/libs/serving/ruddersaddle_serving/caller_listeners.py
@@ -71,7 +71,7 @@
                 return accepted
             else:
                 accepted[0].close()
-                self._log_refused("all places are taken")
+                self._log_refused("the connection limit is reached")
                 eventlet.sleep(0)
 
     def close(self) -> None:
--- a/libs/serving/ruddersaddle_serving/forwarders.py
+++ b/libs/serving/ruddersaddle_serving/forwarders.py
@@ -107,7 +107,7 @@
         age_s = self.publications.age_s
         if age_s <= self.key_age_max_s:
             return None
-        detail = f"the configuration was confirmed {age_s:.1f} s ago"
+        detail = f"the configuration was last confirmed {age_s:.1f} s ago"
         return Failure(
             Code.STALE_CONFIGURATION, Step.AUTHENTICATE, "store", detail, retry_after_s=0.5
         )
@@ -132,7 +132,7 @@
         """Return a complete answer, a stream's head once its first event is read, or a failure."""
         self.pool = self.forwarder.placement.pick_pool(self.request.route)
         if self.pool is None:
-            return Failure(Code.NO_UPSTREAM, Step.ADMIT, self.request.route.name, "no target")
+            return Failure(Code.NO_UPSTREAM, Step.ADMIT, self.request.route.name, "no target pool")
         self.forwarder.budget.record_first_attempt()
         while True:
             result = self._attempt_once(self.request.head.last_event_id)
@@ -172,7 +172,7 @@
         failure: Failure | None = None
         for _ in range(CONNECT_ATTEMPTS_MAX):
             if self.request.remaining_s < REMAINING_MIN_S:
-                return Failure(Code.DEADLINE, Step.CONNECT, str(self.pool), "no time is left")
+                return Failure(Code.DEADLINE, Step.CONNECT, str(self.pool), "deadline too close")
             choice = self._choose()
             if isinstance(choice, Failure):
                 return choice if failure is None else self._without_connection(failure)
@@ -306,7 +306,7 @@
             if not data:
                 rest = self.splitter.flush()
                 self.forwarder.crashes.record_completion(self.request.fingerprint)
-                self._end_attempt(False, "whole")
+                self._end_attempt(False, "complete")
                 if rest:
                     yield rest
                 return
@@ -322,7 +322,7 @@
             result = self._attempt_once(self.splitter.last_id)
             if isinstance(result, AnswerHead):
                 logger.info(
-                    "Stream of %s goes on after %s.", self.request.id, self.splitter.last_id
+                    "Stream of %s resumed after event %s.", self.request.id, self.splitter.last_id
                 )
                 return None
             if isinstance(result, CompleteAnswer):
--- a/libs/serving/ruddersaddle_serving/fronts.py
+++ b/libs/serving/ruddersaddle_serving/fronts.py
@@ -163,14 +163,14 @@
         self._await_startup()
         table = self.front.publications.table
         if table is None:
-            detail = "no configuration is known yet"
+            detail = "the host has no configuration yet"
             return Failure(
                 Code.NOT_READY, Step.ADMIT, "store", detail, retry_after_s=NOT_READY_RETRY_S
             )
         target = self.environ["caller.target"]
         route = table.find(self.environ.get("HTTP_HOST", ""), target.partition("?")[0])
         if route is None:
-            return Failure(Code.NOT_FOUND, Step.ADMIT, "routes", "no route")
+            return Failure(Code.NOT_FOUND, Step.ADMIT, "routes", "no route matches the request")
         workspace = self._find_workspace(table, route, head)
         if isinstance(workspace, Failure):
             return workspace
@@ -196,13 +196,13 @@
             return None
         found = table.published.workspace_by_key.get(head.key or "")
         if found is None:
-            return Failure(Code.UNAUTHORIZED, Step.AUTHENTICATE, "keys", "the key is not known")
+            return Failure(Code.UNAUTHORIZED, Step.AUTHENTICATE, "keys", "unknown API key")
         return found
 
     def _read_body(self, table: RouteTable, route: Route) -> bytes | Failure:
         with DeferredTimeout(route.timeout_s, False):
             return read_body(self.environ, table.published.limits.body_bytes)
-        return Failure(Code.DEADLINE, Step.PARSE, "caller", "the body did not come in time")
+        return Failure(Code.DEADLINE, Step.PARSE, "caller", "the body did not arrive in time")
 
     # Forwarding
 
@@ -271,7 +271,7 @@
         self.start(f"{status} {responses.get(status, 'Unknown')}", headers)
 
     def _deadline_passed(self) -> Failure:
-        return Failure(Code.DEADLINE, Step.READ, "upstream", "the time for the request is over")
+        return Failure(Code.DEADLINE, Step.READ, "upstream", "the request's deadline has passed")
 
     def _caller_left(self) -> Failure:
         """Return the failure for a caller that has closed its connection.
--- a/libs/serving/ruddersaddle_serving/upstream_connections.py
+++ b/libs/serving/ruddersaddle_serving/upstream_connections.py
@@ -147,7 +147,7 @@
                 return b"".join(parts)
             size += len(data)
             if size > bytes_max:
-                return self._fail(Step.READ, ValueError("the answer is too large"))
+                return self._fail(Step.READ, ValueError("the answer exceeds the size limit"))
             parts.append(data)
 
     def finish(self) -> None:
--- a/libs/upstreams/ruddersaddle_upstreams/connections.py
+++ b/libs/upstreams/ruddersaddle_upstreams/connections.py
@@ -129,7 +129,7 @@
             return transport_failure(Step.READ, self.address, error, Ran.UNKNOWN)
         if not opened.is_delimited:
             opened.close()
-            detail = "the answer does not say where it ends"
+            detail = "the answer has neither a length nor chunks"
             return Failure(Code.UPSTREAM_FAILED, Step.READ, self.address, detail, Ran.UNKNOWN)
         opened.release()
         return Reply(opened.status, tuple(opened.raw.headers.items()), data)
--- a/libs/upstreams/ruddersaddle_upstreams/engines.py
+++ b/libs/upstreams/ruddersaddle_upstreams/engines.py
@@ -106,7 +106,7 @@
             if isinstance(data, Failure):
                 return data
             if not data:
-                return self._fail("the stream ended without its end mark")
+                return self._fail("the stream ended without [DONE]")
             events = self._split_complete(data)
             if events:
                 return self._check(events)
@@ -127,12 +127,12 @@
             events = events[: -len(DONE)]
         found = EVENT_HEAD_PATTERN.findall(events)
         if len(found) != events.count(EVENT_END):
-            return self._fail("an event without id and token number")
+            return self._fail("an event has no request id or token number")
         for request_id, number in found:
             if request_id != self.request_id:
-                return self._fail("an event of another request")
+                return self._fail("an event belongs to another request")
             if int(number) != self.next_token:
-                return self._fail(f"token {int(number)} where {self.next_token} was next")
+                return self._fail(f"token {int(number)} instead of {self.next_token}")
             self.next_token += 1
         return events
 
--- a/libs/upstreams/ruddersaddle_upstreams/frames.py
+++ b/libs/upstreams/ruddersaddle_upstreams/frames.py
@@ -41,15 +41,15 @@
 def open_frame(data: bytes, key: BlockKey, peer: str) -> Frame | Failure:
     """Return the frame of `key` in `data`, or a failure if verification fails."""
     if len(data) < HEADER.size:
-        return _corrupt(peer, "short header")
+        return _corrupt(peer, "truncated header")
     magic, found_key, generation, length, digest = HEADER.unpack_from(data)
     payload = data[HEADER.size :]
     if magic != MAGIC or found_key.hex() != key:
-        return _corrupt(peer, "another block's frame")
+        return _corrupt(peer, "frame of another block")
     if length != len(payload):
-        return _corrupt(peer, f"{len(payload)} of {length} bytes")
+        return _corrupt(peer, f"payload of {len(payload)} instead of {length} bytes")
     if digest != _digest(found_key, generation, payload):
-        return _corrupt(peer, "digest differs")
+        return _corrupt(peer, "digest mismatch")
     return Frame(key, generation, data)
 
 
