--- a/libs/serving/ruddersaddle_serving/caller_bodies.py
+++ b/libs/serving/ruddersaddle_serving/caller_bodies.py
@@ -17,7 +17,7 @@
     try:
         if (source.content_length or 0) > bytes_max:
             return _refuse(
-                Code.TOO_LARGE, f"body of {source.content_length} bytes, limit is {bytes_max}"
+                Code.TOO_LARGE, f"{source.content_length} bytes exceed the limit of {bytes_max}"
             )
         _send_continue(source)
         if source.chunked_input:
--- a/libs/upstreams/ruddersaddle_upstreams/engines.py
+++ b/libs/upstreams/ruddersaddle_upstreams/engines.py
@@ -132,7 +132,7 @@
             if request_id != self.request_id:
                 return self._fail("an event belongs to another request")
             if int(number) != self.next_token:
-                return self._fail(f"token {int(number)} instead of {self.next_token}")
+                return self._fail(f"token {int(number)} where {self.next_token} was expected")
             self.next_token += 1
         return events
 
--- a/libs/upstreams/ruddersaddle_upstreams/frames.py
+++ b/libs/upstreams/ruddersaddle_upstreams/frames.py
@@ -47,7 +47,7 @@
     if magic != MAGIC or found_key.hex() != key:
         return _corrupt(peer, "frame of another block")
     if length != len(payload):
-        return _corrupt(peer, f"payload of {len(payload)} instead of {length} bytes")
+        return _corrupt(peer, f"{len(payload)} of {length} payload bytes")
     if digest != _digest(found_key, generation, payload):
         return _corrupt(peer, "digest mismatch")
     return Frame(key, generation, data)
