--- a/libs/standins/ruddersaddle_standins/clients.py
+++ b/libs/standins/ruddersaddle_standins/clients.py
@@ -20,9 +20,9 @@
 
     status: int
     text: str = ""
-    whole: bool = False
+    complete: bool = False
     tokens: int = 0
-    crossed: int = 0
+    misrouted_events: int = 0
     first_ms: float = 0.0
     total_ms: float = 0.0
     longest_gap_ms: float = 0.0
@@ -49,7 +49,7 @@
     total_ms: float = 0.0
 
     @property
-    def word(self) -> str:
+    def outcome(self) -> str:
         """`answered`, or what the error says of whether the call ran."""
         return "answered" if self.error is None else self.error.ran
 
@@ -103,21 +103,21 @@
             parts.append(data)
         result.total_ms = (last - started) * 1000
         data = b"".join(parts)
-        result.whole = data.endswith(DONE)
+        result.complete = data.endswith(DONE)
         if b'data: {"error"' in data:
             start = data.index(b'data: {"error"') + len(b"data: ")
             result.error = _read_error(data[start:].split(b"\n\n")[0])
             data = data[: start - len(b"data: ")]
-        self._take_events(result, data.removesuffix(DONE))
+        self._apply_events(result, data.removesuffix(DONE))
         return result
 
-    def _take_events(self, result: PromptResult, data: bytes) -> None:
+    def _apply_events(self, result: PromptResult, data: bytes) -> None:
         events = read_events(data)
         if isinstance(events, Failure):
-            result.whole = False
+            result.complete = False
             return
         result.tokens = len(events)
-        result.crossed = sum(event.id != result.request for event in events)
+        result.misrouted_events = sum(event.id != result.request for event in events)
         choices = [choice for event in events for choice in event.choices]
         result.text = "".join(choice.text + choice.delta.content for choice in choices)
         result.usage = next((e.usage for e in reversed(events) if e.usage), Usage())
--- a/libs/standins/ruddersaddle_standins/demos.py
+++ b/libs/standins/ruddersaddle_standins/demos.py
@@ -38,7 +38,7 @@
     second = client.prompt(fleet.address_by_name["host-2"], prompt, ANSWER_TOKENS)
     _print("returning, through host-2", second)
     expected = answer_text(prompt, VERSION, ANSWER_TOKENS)
-    right = first.text == second.text == expected and first.whole and second.whole
+    right = first.text == second.text == expected and first.complete and second.complete
     better = second.recomputed_share < first.recomputed_share
     print(
         f"  both answers whole and right: {right}; ratio of first tokens: "
--- a/libs/standins/ruddersaddle_standins/fault_rounds.py
+++ b/libs/standins/ruddersaddle_standins/fault_rounds.py
@@ -131,10 +131,12 @@
         token = ""
         for attempt in range(TRIES):
             result = self._try(client, story, order, attempt, token)
-            story.words.append(result.word if result.status else "broken")
+            story.words.append(result.outcome if result.status else "broken")
             if result.status == 200:
                 story.answers.append(result.body)
-            if story.words[-1] == ANSWERED or (result.word == NOT_RUN and story.stops_at_not_run):
+            if story.words[-1] == ANSWERED or (
+                result.outcome == NOT_RUN and story.stops_at_not_run
+            ):
                 return
             token = result.retry_token or token
             time.sleep(0.1)
@@ -164,8 +166,8 @@
         for result in results:
             if result.status == 200:
                 story.answers.append(result.body)
-        words = {result.word for result in results if result.status}
-        return next((r for r in results if r.word == NOT_RUN and words == {NOT_RUN}), results[0])
+        words = {result.outcome for result in results if result.status}
+        return next((r for r in results if r.outcome == NOT_RUN and words == {NOT_RUN}), results[0])
 
     def _make_whole(self) -> None:
         for kind in ("refuse", "hang", "lose", "late"):
--- a/libs/standins/ruddersaddle_standins/replays.py
+++ b/libs/standins/ruddersaddle_standins/replays.py
@@ -64,13 +64,13 @@
 
     def first_ms(self, workspaces: set[str] | None = None, after_s: float = 0.0) -> np.ndarray:
         """Return first-token times of answered prompts, in milliseconds."""
-        rows = [row for row in self.prompts if row.result.whole and row.arrival.at >= after_s]
+        rows = [row for row in self.prompts if row.result.complete and row.arrival.at >= after_s]
         chosen = [r for r in rows if workspaces is None or r.arrival.workspace in workspaces]
         return np.array([row.result.first_ms for row in chosen] or [np.nan])
 
     def gaps_ms(self) -> np.ndarray:
         """Return each answered prompt's longest pause between reads, in milliseconds."""
-        rows = [row.result.longest_gap_ms for row in self.prompts if row.result.whole]
+        rows = [row.result.longest_gap_ms for row in self.prompts if row.result.complete]
         return np.array(rows or [np.nan])
 
     @property
@@ -87,19 +87,19 @@
     @property
     def cut(self) -> int:
         """Streams that began and did not end whole."""
-        return sum(row.result.status == 200 and not row.result.whole for row in self.prompts)
+        return sum(row.result.status == 200 and not row.result.complete for row in self.prompts)
 
     def outcome(self, name: str) -> float:
         """Return the count that a stated outcome names."""
         match name:
             case "wrong_answers":
-                return sum(row.result.whole and not row.right for row in self.prompts)
+                return sum(row.result.complete and not row.right for row in self.prompts)
             case "cut_streams":
                 return self.cut
             case "doubled_calls":
                 return self.doubled_calls
             case "answered_prompts":
-                return sum(row.result.whole for row in self.prompts)
+                return sum(row.result.complete for row in self.prompts)
             case "answered_calls":
                 return sum(row.result.status == 200 for row in self.calls)
         raise ValueError(f"no outcome {name}")
--- a/libs/standins/ruddersaddle_standins/tests/test_at_most_once.py
+++ b/libs/standins/ruddersaddle_standins/tests/test_at_most_once.py
@@ -75,11 +75,13 @@
             first = pool.submit(self.call, "host-1")
             self.await_run()
             words = {
-                self.call("host-2", retry_token="x").word,
-                self.call("host-2", deadline_ms="soon").word,
-                self.call("host-2", priority_class="none").word,
-                self.call("host-2", authorization="Bearer wrong").word,
-                self.client.call(self.fleet.address_by_name["host-2"], "/no", "b", self.key).word,
+                self.call("host-2", retry_token="x").outcome,
+                self.call("host-2", deadline_ms="soon").outcome,
+                self.call("host-2", priority_class="none").outcome,
+                self.call("host-2", authorization="Bearer wrong").outcome,
+                self.client.call(
+                    self.fleet.address_by_name["host-2"], "/no", "b", self.key
+                ).outcome,
             }
             self.assertEqual(first.result().status, 200)
         self.assertEqual(words, {"unknown"})
@@ -93,9 +95,9 @@
             again = self.call("host-2")
             self.assertEqual(first.result().status, 0)
         self.fleet.clear("service-1", "slow")
-        self.assertEqual(again.word, "unknown")
+        self.assertEqual(again.outcome, "unknown")
         self.fleet.replace_host("host-1")
-        self.assertEqual(self.call("host-1").word, "unknown")
+        self.assertEqual(self.call("host-1").outcome, "unknown")
         self.assertEqual(self.count_runs(), 1)
 
     def test_the_owner_frozen_between_claim_and_dispatch_runs_once_when_let_go(self):
@@ -106,12 +108,12 @@
             time.sleep(0.3)
             self.fleet.by_name["host-1"].freeze()
             self.addCleanup(self.fleet.by_name["host-1"].thaw)
-            wait_until(lambda: self.call("host-2").word == "unknown", "the claim is seen")
+            wait_until(lambda: self.call("host-2").outcome == "unknown", "the claim is seen")
             self.fleet.by_name["host-1"].thaw()
-            self.assertIn(first.result().word, ("answered", "unknown", "not_run"))
+            self.assertIn(first.result().outcome, ("answered", "unknown", "not_run"))
         repeat = self.call("host-3")
-        self.assertEqual(self.count_runs(), int(first.result().word == "answered"))
-        self.assertEqual(repeat.word == "answered", first.result().word == "answered")
+        self.assertEqual(self.count_runs(), int(first.result().outcome == "answered"))
+        self.assertEqual(repeat.outcome == "answered", first.result().outcome == "answered")
 
     def test_a_lost_answer_of_the_log_does_not_stop_the_call(self):
         self.fleet.fault("log", "lose", 1)
@@ -122,11 +124,11 @@
     def test_a_refused_connection_is_not_run_and_its_token_runs_once(self):
         self.fleet.by_name["service-1"].kill()
         refused = self.call("host-1")
-        self.assertEqual(refused.word, "not_run")
+        self.assertEqual(refused.outcome, "not_run")
         self.fleet.by_name["service-1"].start()
         self.fleet.wait_healthy("service-1")
         stuck = self.call("host-2")
-        self.assertEqual(stuck.word, "not_run")
+        self.assertEqual(stuck.outcome, "not_run")
         self.assertEqual(self.count_runs(), 0)
         retry = self.call("host-3", retry_token=stuck.retry_token)
         self.assertEqual(retry.status, 200)
@@ -137,8 +139,8 @@
     def test_an_answer_that_was_cut_is_unknown_and_stays_so(self):
         self.fleet.fault("service-1", "drop", 1)
         first = self.call("host-1", deadline_ms="700")
-        self.assertEqual(first.word, "unknown")
-        self.assertEqual(self.call("host-2").word, "unknown")
+        self.assertEqual(first.outcome, "unknown")
+        self.assertEqual(self.call("host-2").outcome, "unknown")
         self.assertEqual(self.count_runs(), 1)
 
     def test_in_an_outage_keys_end_unknown_at_once_and_tickets_are_served(self):
@@ -148,7 +150,7 @@
         self.call("host-1")
         wait_until(lambda: not self.fleet.status("host-1").log_reachable, "outage seen")
         keyed = self.call("host-1", new_key())
-        self.assertEqual(keyed.word, "unknown")
+        self.assertEqual(keyed.outcome, "unknown")
         self.assertTrue(keyed.retry_after)
         with ThreadPoolExecutor(3) as pool:
             results = list(pool.map(lambda host: self.call(host, ticket), HOSTS))
@@ -159,9 +161,9 @@
     def test_a_ticket_of_a_process_that_is_gone_is_unknown_and_never_runs(self):
         ticket = self.client.ticket(self.fleet.address_by_name["host-3"])
         self.fleet.by_name["host-3"].kill()
-        self.assertEqual(self.call("host-1", ticket).word, "unknown")
+        self.assertEqual(self.call("host-1", ticket).outcome, "unknown")
         self.fleet.replace_host("host-3")
-        self.assertNotEqual(self.call("host-3", ticket).word, "answered")
+        self.assertNotEqual(self.call("host-3", ticket).outcome, "answered")
         self.assertEqual(self.count_runs(), 0)
 
     def test_a_slow_call_through_another_host_than_its_owner_is_answered(self):
@@ -182,10 +184,10 @@
     def test_a_ticket_told_not_run_stays_closed(self):
         ticket = self.client.ticket(self.fleet.address_by_name["host-1"])
         self.fleet.by_name["service-1"].kill()
-        self.assertEqual(self.call("host-2", ticket).word, "not_run")
+        self.assertEqual(self.call("host-2", ticket).outcome, "not_run")
         self.fleet.by_name["service-1"].start()
         self.fleet.wait_healthy("service-1")
-        self.assertEqual(self.call("host-1", ticket).word, "not_run")
+        self.assertEqual(self.call("host-1", ticket).outcome, "not_run")
         self.assertEqual(self.count_runs(), 0)
 
 
--- a/libs/standins/ruddersaddle_standins/tests/test_kept_contexts.py
+++ b/libs/standins/ruddersaddle_standins/tests/test_kept_contexts.py
@@ -35,7 +35,7 @@
             results = list(pool.map(lambda text: self.ask(text, host), TEXTS))
         for text, result in zip(TEXTS, results, strict=True):
             self.assertEqual(result.text, answer_text(text, VERSION, TOKENS))
-            self.assertTrue(result.whole)
+            self.assertTrue(result.complete)
         return results
 
     def count(self, name: str) -> int:
--- a/libs/standins/ruddersaddle_standins/tests/test_planned_stops.py
+++ b/libs/standins/ruddersaddle_standins/tests/test_planned_stops.py
@@ -76,7 +76,7 @@
 
     def check(self, streams, calls, fleet):
         refused = [each for each in streams if each.status != 200]
-        cut = [each for each in streams if each.status == 200 and not each.whole]
+        cut = [each for each in streams if each.status == 200 and not each.complete]
         self.assertGreater(len(streams), CALLERS * 3)
         self.assertEqual((len(refused), len(cut)), (0, 0), refused[:1] + cut[:1])
         right = {answer_text(f"{PROMPT} caller {n}", VERSION, TOKENS) for n in range(CALLERS)}
--- a/libs/standins/ruddersaddle_standins/tests/test_sessions.py
+++ b/libs/standins/ruddersaddle_standins/tests/test_sessions.py
@@ -126,7 +126,7 @@
         exchange_raw(self.address, b"GET / HTTP/1.1\r\nHo", half_closes=True)
         exchange_raw(self.address, b"\x00\xff garbage\r\n\r\n", half_closes=True)
         result = Client("clinic-2").prompt(self.address, "still here", 2)
-        self.assertTrue(result.whole)
+        self.assertTrue(result.complete)
 
     def test_an_injected_header_reaches_no_service_and_no_other_answer(self):
         value = "x\r\n Workspace: clinic-2\r\nInjected: yes"
--- a/libs/standins/ruddersaddle_standins/tests/test_whole_answers.py
+++ b/libs/standins/ruddersaddle_standins/tests/test_whole_answers.py
@@ -42,10 +42,10 @@
         address = self.fleet.address_by_name[host]
         return Client(workspace).prompt(address, text, TOKENS, **more)
 
-    def assert_whole(self, result: PromptResult, text: str, version: str = VERSION) -> None:
+    def assert_complete(self, result: PromptResult, text: str, version: str = VERSION) -> None:
         self.assertIsNone(result.error)
-        self.assertTrue(result.whole)
-        self.assertEqual(result.crossed, 0)
+        self.assertTrue(result.complete)
+        self.assertEqual(result.misrouted_events, 0)
         self.assertEqual(result.text, answer_text(text, version, TOKENS))
 
     def resumed(self) -> int:
@@ -62,7 +62,7 @@
         for name in self.engines():
             self.fleet.clear(name, "cross")
         for text, result in zip(texts, results, strict=True):
-            self.assert_whole(result, text)
+            self.assert_complete(result, text)
         self.assertGreater(self.resumed(), before)
 
     def test_a_stream_cut_by_its_engine_goes_on_without_gap_or_repeat(self):
@@ -77,9 +77,9 @@
         timer.join()
         for text, result in zip(texts, results, strict=True):
             if result.error is None:
-                self.assert_whole(result, text)
+                self.assert_complete(result, text)
             else:
-                self.assertFalse(result.whole)
+                self.assertFalse(result.complete)
                 self.assertTrue(answer_text(text, VERSION, TOKENS).startswith(result.text))
         self.assertGreater(self.resumed(), before)
 
@@ -95,7 +95,7 @@
             self.fleet.by_name[self.busy_engine()].kill()
             results = list(results)
         for text, result in zip(texts, results, strict=True):
-            self.assert_whole(result, text)
+            self.assert_complete(result, text)
 
     def busy_engine(self) -> str:
         """Return the engine with most of the first host's streams, or nothing if there is none."""
@@ -157,7 +157,7 @@
         self.addCleanup(self.swap_back)
         versions = set()
         for text, result in results:
-            self.assertTrue(result.whole, result)
+            self.assertTrue(result.complete, result)
             by_text = {answer_text(text, v, TOKENS): v for v in (VERSION, "v2")}
             self.assertIn(result.text, by_text)
             versions.add(by_text[result.text])
@@ -180,8 +180,8 @@
         for text, result in zip(texts, results, strict=True):
             own = answer_text(text, VERSION, LONG_TOKENS)
             self.assertTrue(own.startswith(result.text), "tokens of another version")
-            self.assertEqual(result.whole, result.text == own)
-            self.assertEqual(result.whole, result.error is None)
+            self.assertEqual(result.complete, result.text == own)
+            self.assertEqual(result.complete, result.error is None)
 
     def load(self, stop, results, number):
         while not stop.is_set():
@@ -214,7 +214,7 @@
         self.addCleanup(self.swap_back_all)
         wait_until(self.all_on_second, "every engine runs v2")
         first = self.prompt(text)
-        self.assert_whole(first, text, "v2")
+        self.assert_complete(first, text, "v2")
         self.assertEqual(first.usage.cached_tokens, 0)
 
     def swap_back_all(self) -> None:
@@ -247,7 +247,7 @@
                 thread.join()
             record = fleet.ask("engine-1", "/record", EngineRecord)
             self.assertLess(record.last_started - marked, self.LIMIT_S)
-            self.assertTrue(all(result.whole for result in results))
+            self.assertTrue(all(result.complete for result in results))
 
     def load(self, fleet, stop, results, number):
         client = Client("clinic-1")
