--- a/libs/standins/ruddersaddle_standins/capacities.py
+++ b/libs/standins/ruddersaddle_standins/capacities.py
@@ -294,13 +294,13 @@
 
     def run(self) -> CallCost:
         """Make the calls, and then some in an outage of the log."""
-        before = self.fleet.ask("log", "/appends", int)
+        before = self.fleet.fetch("log", "/appends", int)
         began = time.monotonic()
         with ThreadPoolExecutor(self.way.callers) as pool:
             times = np.array([result.total_ms for result in pool.map(self.call, range(CALLS))])
             seconds = time.monotonic() - began
-            appends = self.fleet.ask("log", "/appends", int) - before
-            self.fleet.fault("log", "refuse")
+            appends = self.fleet.fetch("log", "/appends", int) - before
+            self.fleet.inject_fault("log", "refuse")
             list(pool.map(self.call, range(CALLS, CALLS + self.way.callers)))
             time.sleep(DOWN_S)
             outage = list(pool.map(self.call, range(CALLS * 2, CALLS * 3)))
--- a/libs/standins/ruddersaddle_standins/fault_rounds.py
+++ b/libs/standins/ruddersaddle_standins/fault_rounds.py
@@ -115,11 +115,11 @@
                 time.sleep(FAULT_S * 2)
                 process.thaw()
             case "log_lose" | "service_drop":
-                self.fleet.fault(target, kind.rpartition("_")[2], 3.0)
+                self.fleet.inject_fault(target, kind.rpartition("_")[2], 3.0)
             case "log_late" | "service_slow":
-                self.fleet.fault(target, kind.rpartition("_")[2], 1.0, FAULT_S)
+                self.fleet.inject_fault(target, kind.rpartition("_")[2], 1.0, FAULT_S)
             case _:
-                self.fleet.fault(target, kind.rpartition("_")[2], 1.0, FAULT_S)
+                self.fleet.inject_fault(target, kind.rpartition("_")[2], 1.0, FAULT_S)
 
     def _tell(self, story: Story, start_s: float, order: list[str]) -> None:
         time.sleep(start_s)
@@ -171,17 +171,17 @@
 
     def _make_whole(self) -> None:
         for kind in ("refuse", "hang", "lose", "late"):
-            self.fleet.clear("log", kind)
+            self.fleet.clear_fault("log", kind)
         for name, process in self.fleet.by_name.items():
             if name.startswith("service-"):
                 if not process.is_running:
                     process.start()
                 self.fleet.wait_healthy(name)
                 for kind in ("drop", "slow"):
-                    self.fleet.clear(name, kind)
+                    self.fleet.clear_fault(name, kind)
             if name.startswith("host-") and not process.is_running:
                 self.fleet.replace_host(name)
-        self.fleet.wait_whole()
+        self.fleet.wait_recovered()
 
     def _report(self, seed: int, faults: list[str], stories: list[Story]) -> RoundReport:
         report = RoundReport(seed, faults)
--- a/libs/standins/ruddersaddle_standins/fleets.py
+++ b/libs/standins/ruddersaddle_standins/fleets.py
@@ -30,8 +30,8 @@
 from ruddersaddle_standins.servers import Fault
 from ruddersaddle_standins.service_servers import Run, read_runs
 
-STANDINS = "ruddersaddle_standins.programs"
-PRODUCT = "ruddersaddle.programs"
+STANDINS_MODULE = "ruddersaddle_standins.programs"
+PRODUCT_MODULE = "ruddersaddle.programs"
 MODEL = "assistant"
 VERSION = "v1"
 PUBLISH_S = 10.0
@@ -99,7 +99,7 @@
         ):
             for number in range(1, count + 1):
                 name = f"{kind}-{number}"
-                extra = {"engine": weights, "service": [str(self._record(name))]}.get(kind, [])
+                extra = {"engine": weights, "service": [str(self._run_file(name))]}.get(kind, [])
                 self._add_standin(name, kind, [*extra, *options])
                 self._list_row(name, role, number)
         for name in self.by_name:
@@ -108,17 +108,17 @@
     def _add_standin(self, name: str, kind: str, options: list[str]) -> None:
         port = free_ports(1)[0]
         self.address_by_name[name] = f"{LOOPBACK}:{port}"
-        process = Process(name, STANDINS, [kind, str(port), *options], self.folder)
+        process = Process(name, STANDINS_MODULE, [kind, str(port), *options], self.folder)
         self.by_name[name] = process
         process.start()
 
-    def _record(self, name: str) -> Path:
+    def _run_file(self, name: str) -> Path:
         return self.folder / f"{name}.runs"
 
     def runs(self) -> list[Run]:
         """Return all that the plain services have run, from their own records."""
         names = [name for name in self.by_name if name.startswith("service-")]
-        return [run for name in names for run in read_runs(self._record(name))]
+        return [run for name in names for run in read_runs(self._run_file(name))]
 
     def _list_row(self, name: str, role: HostRole, number: int, peer: str = "") -> None:
         hall = HallId(self.topology.halls[number % len(self.topology.halls)])
@@ -146,7 +146,7 @@
             **{key.replace("__", "."): value for key, value in settings.items()},
         }
         options = [f"{key}={value}" for key, value in given.items()]
-        process = Process(name, PRODUCT, ["serve", "--set", *options], self.folder)
+        process = Process(name, PRODUCT_MODULE, ["serve", "--set", *options], self.folder)
         self.by_name[name] = process
         process.start()
         return process
@@ -224,12 +224,12 @@
         wanted = self.topology.engines + self.topology.services
         return len(rows) >= wanted and all(row.version for row in engines)
 
-    def wait_whole(self) -> None:
+    def wait_recovered(self) -> None:
         """Wait until every host reads the log and no circuit is open from earlier failures."""
         for name in self.host_names():
-            wait_until(lambda host=name: self._is_whole(host), f"{name} lets calls pass")
+            wait_until(lambda host=name: self._has_recovered(host), f"{name} lets calls pass")
 
-    def _is_whole(self, name: str) -> bool:
+    def _has_recovered(self, name: str) -> bool:
         status = self.status(name)
         if isinstance(status, Failure):
             return False
@@ -254,16 +254,16 @@
         """Return a host's status."""
         return self.publisher.status_of(self.address_by_name[name])
 
-    def fault(self, name: str, kind: str, value: float = 1.0, seconds: float = 1e9) -> None:
+    def inject_fault(self, name: str, kind: str, value: float = 1.0, seconds: float = 1e9) -> None:
         """Bring about a fault of a stand-in."""
         body = msgspec.json.encode(Fault(kind, value, seconds))
         self.http.request("POST", self.url(name, "/faults"), body=body)
 
-    def clear(self, name: str, kind: str) -> None:
+    def clear_fault(self, name: str, kind: str) -> None:
         """End a fault of a stand-in."""
-        self.fault(name, kind, 0.0, 0.0)
+        self.inject_fault(name, kind, 0.0, 0.0)
 
-    def ask(self, name: str, path: str, kind: type) -> object:
+    def fetch(self, name: str, path: str, kind: type) -> object:
         """Return a stand-in's record as a typed value."""
         reply = self.http.request("GET", self.url(name, path))
         return msgspec.json.decode(reply.data, type=kind)
--- a/libs/standins/ruddersaddle_standins/replays.py
+++ b/libs/standins/ruddersaddle_standins/replays.py
@@ -170,7 +170,7 @@
         if fault.kind == "kill":
             self.fleet.by_name[fault.target].kill()
         else:
-            self.fleet.fault(fault.target, fault.kind, fault.value or 1.0, fault.seconds)
+            self.fleet.inject_fault(fault.target, fault.kind, fault.value or 1.0, fault.seconds)
 
     def _send_prompt(self, number: int, line: Arrival, host: str) -> None:
         tail = f"question {number} " + fill_text(f"tail {number}", TAIL_TOKENS)
@@ -213,12 +213,12 @@
             for early, late in zip(before, after, strict=True)
         ]
         engines = [
-            self.fleet.ask(name, "/record", EngineRecord)
+            self.fleet.fetch(name, "/record", EngineRecord)
             for name, process in self.fleet.by_name.items()
             if name.startswith("engine-") and process.is_running
         ]
         stores = [
-            self.fleet.ask(name, "/record", StoreRecord)
+            self.fleet.fetch(name, "/record", StoreRecord)
             for name in self.fleet.by_name
             if name.startswith("store-")
         ]
@@ -233,7 +233,7 @@
             new_tokens=self._count_new(),
             prompt_tokens=sum(each.prompt_tokens for each in engines),
             doubled_calls=len(bodies) - len(set(bodies)),
-            appends=self.fleet.ask("log", "/appends", int),
+            appends=self.fleet.fetch("log", "/appends", int),
             seconds=seconds,
         )
 
--- a/libs/standins/ruddersaddle_standins/tests/test_at_most_once.py
+++ b/libs/standins/ruddersaddle_standins/tests/test_at_most_once.py
@@ -22,7 +22,7 @@
         cls.addClassCleanup(cls.fleet.stop)
 
     def setUp(self):
-        self.fleet.wait_whole()
+        self.fleet.wait_recovered()
         self.client = Client("clinic-1", keep_alive=False)
         self.key = new_key()
         self.body = f"slot of {self.id()}"
@@ -70,7 +70,7 @@
 
     def test_a_refusal_before_the_claim_does_not_say_not_run_of_a_key_that_runs(self):
         """An earlier try may be under way elsewhere; `not_run` is a statement about the key."""
-        self.fleet.fault("service-1", "slow", 1.0, 2.0)
+        self.fleet.inject_fault("service-1", "slow", 1.0, 2.0)
         with ThreadPoolExecutor(1) as pool:
             first = pool.submit(self.call, "host-1")
             self.await_run()
@@ -87,14 +87,14 @@
         self.assertEqual(words, {"unknown"})
 
     def test_the_owner_killed_after_dispatch_leaves_unknown_and_no_second_run(self):
-        self.fleet.fault("service-1", "slow", 1.5, 3.0)
+        self.fleet.inject_fault("service-1", "slow", 1.5, 3.0)
         with ThreadPoolExecutor(1) as pool:
             first = pool.submit(self.call, "host-1")
             self.await_run()
             self.fleet.by_name["host-1"].kill()
             again = self.call("host-2")
             self.assertEqual(first.result().status, 0)
-        self.fleet.clear("service-1", "slow")
+        self.fleet.clear_fault("service-1", "slow")
         self.assertEqual(again.outcome, "unknown")
         self.fleet.replace_host("host-1")
         self.assertEqual(self.call("host-1").outcome, "unknown")
@@ -102,7 +102,7 @@
 
     def test_the_owner_frozen_between_claim_and_dispatch_runs_once_when_let_go(self):
         """The claim lands while its host is frozen; a repeat elsewhere must not run beside it."""
-        self.fleet.fault("log", "late", 0.6, 0.5)
+        self.fleet.inject_fault("log", "late", 0.6, 0.5)
         with ThreadPoolExecutor(1) as pool:
             first = pool.submit(self.call, "host-1")
             time.sleep(0.3)
@@ -116,7 +116,7 @@
         self.assertEqual(repeat.outcome == "answered", first.result().outcome == "answered")
 
     def test_a_lost_answer_of_the_log_does_not_stop_the_call(self):
-        self.fleet.fault("log", "lose", 1)
+        self.fleet.inject_fault("log", "lose", 1)
         result = self.call("host-1")
         self.assertEqual(result.status, 200)
         self.assertEqual(self.count_runs(), 1)
@@ -137,7 +137,7 @@
         self.assertEqual(self.count_runs(), 1)
 
     def test_an_answer_that_was_cut_is_unknown_and_stays_so(self):
-        self.fleet.fault("service-1", "drop", 1)
+        self.fleet.inject_fault("service-1", "drop", 1)
         first = self.call("host-1", deadline_ms="700")
         self.assertEqual(first.outcome, "unknown")
         self.assertEqual(self.call("host-2").outcome, "unknown")
@@ -145,8 +145,8 @@
 
     def test_in_an_outage_keys_end_unknown_at_once_and_tickets_are_served(self):
         ticket = self.client.ticket(self.fleet.address_by_name["host-1"])
-        self.fleet.fault("log", "refuse")
-        self.addCleanup(self.fleet.clear, "log", "refuse")
+        self.fleet.inject_fault("log", "refuse")
+        self.addCleanup(self.fleet.clear_fault, "log", "refuse")
         self.call("host-1")
         wait_until(lambda: not self.fleet.status("host-1").log_reachable, "outage seen")
         keyed = self.call("host-1", new_key())
@@ -167,8 +167,8 @@
         self.assertEqual(self.count_runs(), 0)
 
     def test_a_slow_call_through_another_host_than_its_owner_is_answered(self):
-        self.fleet.fault("service-1", "slow", 2.5, 20.0)
-        self.addCleanup(self.fleet.clear, "service-1", "slow")
+        self.fleet.inject_fault("service-1", "slow", 2.5, 20.0)
+        self.addCleanup(self.fleet.clear_fault, "service-1", "slow")
         ticket = self.client.ticket(self.fleet.address_by_name["host-1"])
         with ThreadPoolExecutor(2) as pool:
             ticketed = pool.submit(self.call, "host-2", ticket)
--- a/libs/standins/ruddersaddle_standins/tests/test_configuration_force.py
+++ b/libs/standins/ruddersaddle_standins/tests/test_configuration_force.py
@@ -36,7 +36,7 @@
         cls.addClassCleanup(cls.fleet.stop)
 
     def setUp(self):
-        self.fleet.wait_whole()
+        self.fleet.wait_recovered()
         self.fleet.publisher.read()
 
     def publisher(self) -> Publisher:
@@ -85,14 +85,14 @@
 
     def test_a_lost_answer_ends_accepted_since_the_change_is_read_back(self):
         publisher = self.publisher()
-        self.fleet.fault("log", "lose", 1)
+        self.fleet.inject_fault("log", "lose", 1)
         result = publisher.publish("op", [self.edit(publisher, 21)], 5.0)
         self.assertEqual((result.word, self.weight()), (Word.ACCEPTED, 21))
         self.await_alike()
 
     def test_a_late_append_ends_unknown_and_its_fate_can_be_found_out(self):
         publisher = self.publisher()
-        self.fleet.fault("log", "late", 4.0, 1.0)
+        self.fleet.inject_fault("log", "late", 4.0, 1.0)
         result = publisher.publish("op", [self.edit(publisher, 22)], 0.5)
         self.assertEqual(result.word, Word.UNKNOWN)
         wait_until(lambda: self.weight() == 22, "the late change lands")
@@ -117,12 +117,12 @@
         addresses = self.fleet.address_by_name
         command = [sys.executable, "-m", "ruddersaddle.programs", "config", "publish", str(file)]
         command += ["--log", addresses["log"], "--hosts", addresses["list"]]
-        self.fleet.fault("log", "late", 1.0, 5.0)
+        self.fleet.inject_fault("log", "late", 1.0, 5.0)
         child = subprocess.Popen(command, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL)
         wait_until(lambda: self.has_landed(child), "the change lands")
         child.kill()
         child.wait()
-        self.fleet.clear("log", "late")
+        self.fleet.clear_fault("log", "late")
         self.await_alike()
 
     def has_landed(self, child: subprocess.Popen) -> bool:
@@ -134,14 +134,14 @@
         self.await_alike()
         process = self.fleet.by_name["host-3"]
         process.kill()
-        self.fleet.fault("log", "refuse")
-        self.addCleanup(self.fleet.clear, "log", "refuse")
+        self.fleet.inject_fault("log", "refuse")
+        self.addCleanup(self.fleet.clear_fault, "log", "refuse")
         self.fleet.replace_host("host-3")
         self.assertEqual(self.digest("host-3"), self.digest("host-1"))
 
     def test_alone_in_an_outage_a_host_is_not_ready(self):
-        self.fleet.fault("log", "refuse")
-        self.addCleanup(self.fleet.clear, "log", "refuse")
+        self.fleet.inject_fault("log", "refuse")
+        self.addCleanup(self.fleet.clear_fault, "log", "refuse")
         lonely = self.fleet.add_host("host-9", platform__host_list="127.0.0.1:1")
         self.addCleanup(lambda: (lonely.kill(), self.fleet.by_name.pop("host-9")))
         self.addCleanup(self.fleet.row_by_name.pop, "host-9")
--- a/libs/standins/ruddersaddle_standins/tests/test_kept_contexts.py
+++ b/libs/standins/ruddersaddle_standins/tests/test_kept_contexts.py
@@ -56,20 +56,20 @@
         return sum(row.cached_blocks for row in self.fleet.status(host).upstreams) == 0
 
     def used_wrongly(self) -> int:
-        records = [self.fleet.ask(n, "/record", EngineRecord) for n in ("engine-1", "engine-2")]
+        records = [self.fleet.fetch(n, "/record", EngineRecord) for n in ("engine-1", "engine-2")]
         return sum(record.imported_wrong for record in records)
 
     def imported(self) -> int:
-        records = [self.fleet.ask(n, "/record", EngineRecord) for n in ("engine-1", "engine-2")]
+        records = [self.fleet.fetch(n, "/record", EngineRecord) for n in ("engine-1", "engine-2")]
         return sum(record.imported_blocks for record in records)
 
     def test_torn_reused_and_changed_blocks_are_misses_and_are_never_used(self):
         for kind in ("torn", "reused", "flip"):
-            self.fleet.fault("store-1", kind, 2)
+            self.fleet.inject_fault("store-1", kind, 2)
             self.ask_all("host-2")
             self.drop_caches()
         self.assertEqual(self.used_wrongly(), 0)
-        spoiled = self.fleet.ask("store-1", "/record", StoreRecord).spoiled_blocks
+        spoiled = self.fleet.fetch("store-1", "/record", StoreRecord).spoiled_blocks
         self.assertGreaterEqual(spoiled, 4)
         # A read is given up at its first wrong block, so that it may hold more than one.
         self.assertGreater(self.mismatched(), 0)
@@ -98,7 +98,7 @@
         self.assertEqual(self.used_wrongly(), 0)
 
     def test_a_store_host_that_dies_in_a_transfer_costs_no_answer(self):
-        self.fleet.fault("store-1", "slow", 40.0)
+        self.fleet.inject_fault("store-1", "slow", 40.0)
         killer = threading.Timer(0.3, self.fleet.by_name["store-1"].kill)
         killer.start()
         self.ask_all("host-2")
@@ -107,7 +107,7 @@
         self.assertGreater(self.count("contexts_fetch_failures"), 0)
 
     def test_a_full_store_host_costs_no_answer(self):
-        self.fleet.fault("store-1", "full")
+        self.fleet.inject_fault("store-1", "full")
         self.fleet.http.request("DELETE", self.fleet.url("store-1", "/v1/blocks"))
         self.ask_all("host-2")
         wait_until(lambda: self.count("contexts_keep_failures") > 0, "keeping is refused")
--- a/libs/standins/ruddersaddle_standins/tests/test_orders.py
+++ b/libs/standins/ruddersaddle_standins/tests/test_orders.py
@@ -40,7 +40,7 @@
                 wait_until(lambda host=name: self.runs(host, "v3"), "every engine runs v3")
             fleet.by_name[holder].thaw()
             wait_until(lambda: self.runs(holder, "v3"), "the old holder sees v3")
-            records = [fleet.ask(f"engine-{n}", "/record", EngineRecord) for n in (1, 2, 3)]
+            records = [fleet.fetch(f"engine-{n}", "/record", EngineRecord) for n in (1, 2, 3)]
             statuses = [fleet.status(name) for name in fleet.host_names()]
             self.assertTrue(all(self.runs(name, "v3") for name in fleet.host_names()))
             refused = sum(record.orders_refused for record in records)
--- a/libs/standins/ruddersaddle_standins/tests/test_sessions.py
+++ b/libs/standins/ruddersaddle_standins/tests/test_sessions.py
@@ -33,7 +33,7 @@
         cls.address = cls.fleet.address_by_name["host-1"]
 
     def check(self, name: str, *exchanges: Exchange) -> None:
-        self.fleet.wait_whole()
+        self.fleet.wait_recovered()
         found = record_session(self.address, list(exchanges))
         path = GOLDEN / f"{name}.txt"
         if os.environ.get("GOLDEN_WRITE"):
--- a/libs/standins/ruddersaddle_standins/tests/test_whole_answers.py
+++ b/libs/standins/ruddersaddle_standins/tests/test_whole_answers.py
@@ -33,7 +33,7 @@
             if not self.fleet.by_name[name].is_running:
                 self.fleet.by_name[name].start()
             self.fleet.wait_healthy(name)
-        self.fleet.wait_whole()
+        self.fleet.wait_recovered()
 
     def engines(self) -> list[str]:
         return [name for name in self.fleet.by_name if name.startswith("engine-")]
@@ -55,12 +55,12 @@
     def test_events_of_another_request_reach_no_caller(self):
         before = self.resumed()
         for name in self.engines():
-            self.fleet.fault(name, "cross", 2)
+            self.fleet.inject_fault(name, "cross", 2)
         texts = [f"{LONG} {number}" for number in range(6)]
         with ThreadPoolExecutor(6) as pool:
             results = list(pool.map(self.prompt, texts))
         for name in self.engines():
-            self.fleet.clear(name, "cross")
+            self.fleet.clear_fault(name, "cross")
         for text, result in zip(texts, results, strict=True):
             self.assert_complete(result, text)
         self.assertGreater(self.resumed(), before)
@@ -68,7 +68,7 @@
     def test_a_stream_cut_by_its_engine_goes_on_without_gap_or_repeat(self):
         before = self.resumed()
         for name in self.engines():
-            self.fleet.fault(name, "die_at", 13)
+            self.fleet.inject_fault(name, "die_at", 13)
         texts = [f"{LONG} cut {number}" for number in range(4)]
         timer = threading.Timer(1.0, self.heal)
         timer.start()
@@ -85,7 +85,7 @@
 
     def heal(self) -> None:
         for name in self.engines():
-            self.fleet.clear(name, "die_at")
+            self.fleet.clear_fault(name, "die_at")
 
     def test_an_engine_killed_under_streams_loses_none(self):
         texts = [f"{LONG} killed {number}" for number in range(8)]
@@ -162,7 +162,7 @@
             self.assertIn(result.text, by_text)
             versions.add(by_text[result.text])
         self.assertEqual(versions, {VERSION, "v2"})
-        most = self.fleet.ask("weights", "/most", int)
+        most = self.fleet.fetch("weights", "/most", int)
         self.assertLessEqual(most, 2)
 
     def test_a_stream_that_dies_in_a_swap_goes_on_with_its_own_version_or_ends_clearly(self):
@@ -172,7 +172,7 @@
         with ThreadPoolExecutor(4) as pool:
             told = [pool.submit(client.prompt, address, text, LONG_TOKENS) for text in texts]
             wait_until(self.busy_engine, "streams run on an engine")
-            self.fleet.fault(self.busy_engine(), "die_at", DIES_AT)
+            self.fleet.inject_fault(self.busy_engine(), "die_at", DIES_AT)
             self.fleet.publish(Model(MODEL, "v2"))
             self.addCleanup(self.swap_back_all)
             results = [each.result() for each in told]
@@ -245,7 +245,7 @@
             stop.set()
             for thread in threads:
                 thread.join()
-            record = fleet.ask("engine-1", "/record", EngineRecord)
+            record = fleet.fetch("engine-1", "/record", EngineRecord)
             self.assertLess(record.last_started - marked, self.LIMIT_S)
             self.assertTrue(all(result.complete for result in results))
 
@@ -256,7 +256,7 @@
             results.append(client.prompt(address, f"{number} {len(results)} {LONG}", 8))
 
     def requests(self, fleet) -> int:
-        return fleet.ask("engine-1", "/record", EngineRecord).requests
+        return fleet.fetch("engine-1", "/record", EngineRecord).requests
 
 
 if __name__ == "__main__":
