--- a/libs/standins/ruddersaddle_standins/claim_models.py
+++ b/libs/standins/ruddersaddle_standins/claim_models.py
@@ -1,8 +1,9 @@
-"""Search of every interleaving of tries at one key, over the product's own fold of claims.
+"""Model checker for claims: explores every interleaving of attempts to use one key.
 
-Appends may land late, twice or never; tries may crash or pause at any point. Checked: the call
-runs at most once, `not_run` is said of no key that ran, and after `not_run` no try that was made
-before may run. Tickets are searched beside: one process, calls that arrive late and doubled.
+It uses the product's own claim state machine. Appends may land late, twice or never; attempts may
+crash or pause at any point. Three invariants are checked: the call runs at most once, `not_run` is
+never reported for a key that ran, and after `not_run` no earlier attempt may run. A second search
+covers tickets: one process, and calls that arrive late and duplicated.
 """
 
 from collections import deque
@@ -16,235 +17,244 @@
 from ruddersaddle_state.records import Claim, Outcome, PositionedRecord, Void
 
 KEY = CallKey("w/k")
-COPIES = 2
-"""How often one append may land."""
+COPIES_MAX = 2
+"""How many times one append may land in the log."""
 FOREVER_S = 1e9
 
 
-class Told(Enum):
-    """When a host says `not_run` of a claim that it gives up."""
+class NotRunTiming(Enum):
+    """When a host reports `not_run` for a claim that it gives up."""
 
     AT_ONCE = "at_once"
     AFTER_VOID = "after_void"
 
 
-class Try(msgspec.Struct, frozen=True):
-    """One try at the key: its step and the retry token that its caller had."""
+class Attempt(msgspec.Struct, frozen=True):
+    """One attempt to use the key: its step and the retry token of its caller."""
 
     step: str = "unborn"
     token: int = START
 
 
-class Note(msgspec.Struct, frozen=True):
-    """A record on its way or in the log: a claim or a void of one try."""
+class ModelRecord(msgspec.Struct, frozen=True):
+    """A record in transit or in the log: the claim of an attempt, or the void of one."""
 
     is_claim: bool
     owner: int
     token: int = START
 
 
-class World(msgspec.Struct, frozen=True):
-    """One state of the search; `barred` are the tries that may not run any more."""
+class SearchState(msgspec.Struct, frozen=True):
+    """One state of the search; `barred` are the attempts that must not run any more."""
 
-    tries: tuple[Try, ...]
-    log: tuple[Note, ...] = ()
-    sending: frozenset[tuple[Note, int]] = frozenset()
+    attempts: tuple[Attempt, ...]
+    log: tuple[ModelRecord, ...] = ()
+    sending: frozenset[tuple[ModelRecord, int]] = frozenset()
     calls: frozenset[int] = frozenset()
     runs: int = 0
     barred: frozenset[int] = frozenset()
 
 
-class Verdict(msgspec.Struct, frozen=True):
-    """What a search found: the broken promise or nothing, and whether a retry could run."""
+class SearchResult(msgspec.Struct, frozen=True):
+    """Result of a search: the violated invariant, empty if none, and whether a retry could run."""
 
-    broken: str
+    violation: str
     states: int
     retry_runs: bool
 
 
 class ClaimSearch:
-    """Searches one rule with one time of telling."""
+    """Searches the states reachable under one claim rule and one timing of `not_run`."""
 
-    def __init__(self, rule: Rule, told: Told, tries: int, log_max: int) -> None:
+    def __init__(self, rule: Rule, timing: NotRunTiming, attempts: int, log_max: int) -> None:
         self.rule = rule
-        self.told = told
-        self.tries = tries
+        self.timing = timing
+        self.attempts = attempts
         self.log_max = log_max
         self.fold = lru_cache(maxsize=None)(self._fold)
 
-    def _fold(self, log: tuple[Note, ...]) -> tuple[int | None, frozenset[int]]:
-        """Return who holds the key and the accepted positions, by the product's own fold."""
+    def _fold(self, log: tuple[ModelRecord, ...]) -> tuple[int | None, frozenset[int]]:
+        """Return the holder of the key and the accepted positions, computed by `Claims`."""
         claims = Claims(FOREVER_S, 0.0, self.rule)
         accepted = set()
-        for index, note in enumerate(log):
-            fate = claims.apply(PositionedRecord(Position(index), 1.0, _record(note, index)))
-            if fate.outcome is Outcome.ACCEPTED:
+        for index, record in enumerate(log):
+            result = claims.apply(
+                PositionedRecord(Position(index), 1.0, _to_log_record(record, index))
+            )
+            if result.outcome is Outcome.ACCEPTED:
                 accepted.add(index)
         state = claims.by_key.get(KEY)
         holder = None if state is None or state.holder is None else int(state.holder)
         return holder, frozenset(accepted)
 
-    def run(self) -> Verdict:
-        """Search breadth first; stop at the first broken promise."""
-        first = World((Try(),) * self.tries)
+    def run(self) -> SearchResult:
+        """Search breadth first; stop at the first violation."""
+        first = SearchState((Attempt(),) * self.attempts)
         seen = {first}
         queue = deque([first])
         retry_runs = False
         while queue:
-            world = queue.popleft()
-            retry_runs = retry_runs or (world.runs > 0 and self._has_not_run(world))
-            for following in self._step(world):
-                broken = _broken(world, following)
-                if broken:
-                    return Verdict(broken, len(seen), retry_runs)
+            state = queue.popleft()
+            retry_runs = retry_runs or (state.runs > 0 and self._has_not_run(state))
+            for following in self._step(state):
+                violation = _find_violation(state, following)
+                if violation:
+                    return SearchResult(violation, len(seen), retry_runs)
                 if following not in seen:
                     seen.add(following)
                     queue.append(following)
-        return Verdict("", len(seen), retry_runs)
+        return SearchResult("", len(seen), retry_runs)
 
-    def _has_not_run(self, world: World) -> bool:
-        return any(each.step == "not_run" for each in world.tries)
+    def _has_not_run(self, state: SearchState) -> bool:
+        return any(each.step == "not_run" for each in state.attempts)
 
-    def _step(self, world: World) -> Iterator[World]:
-        for index, each in enumerate(world.tries):
-            yield from self._step_try(world, index, each)
-        yield from self._step_network(world)
+    def _step(self, state: SearchState) -> Iterator[SearchState]:
+        for index, each in enumerate(state.attempts):
+            yield from self._step_attempt(state, index, each)
+        yield from self._step_network(state)
 
-    def _step_try(self, world: World, index: int, each: Try) -> Iterator[World]:
-        holder, accepted = self.fold(world.log)
+    def _step_attempt(self, state: SearchState, index: int, each: Attempt) -> Iterator[SearchState]:
+        holder, accepted = self.fold(state.log)
         if each.step in ("new", "claiming", "voiding", "dispatched"):
-            yield _put(world, index, Try("crashed", each.token))
+            yield _with_attempt(state, index, Attempt("crashed", each.token))
         match each.step:
-            case "unborn" if index == 0 or world.tries[index - 1].step != "unborn":
-                yield _put(world, index, Try("new", self._told_token(world)))
+            case "unborn" if index == 0 or state.attempts[index - 1].step != "unborn":
+                yield _with_attempt(state, index, Attempt("new", self._reported_token(state)))
             case "new" if holder is None:
-                yield self._claim(world, index, each)
+                yield self._claim(state, index, each)
             case "new":
-                yield _put(world, index, Try("unknown", each.token))
+                yield _with_attempt(state, index, Attempt("unknown", each.token))
             case "claiming":
-                yield from self._claiming(world, index, each, holder)
+                yield from self._claiming(state, index, each, holder)
             case "voiding":
-                yield from self._voiding(world, index, each, accepted)
+                yield from self._voiding(state, index, each, accepted)
 
-    def _told_token(self, world: World) -> int:
-        tokens = [each.token for each in world.tries if each.step == "not_run"]
+    def _reported_token(self, state: SearchState) -> int:
+        tokens = [each.token for each in state.attempts if each.step == "not_run"]
         return max(tokens, default=START)
 
-    def _claim(self, world: World, index: int, each: Try) -> World:
-        token = len(world.log) - 1 if self.rule is Rule.READ else each.token
-        return _send(_put(world, index, Try("claiming", token)), Note(True, index, token))
+    def _claim(self, state: SearchState, index: int, each: Attempt) -> SearchState:
+        token = len(state.log) - 1 if self.rule is Rule.READ else each.token
+        return _send(
+            _with_attempt(state, index, Attempt("claiming", token)), ModelRecord(True, index, token)
+        )
 
-    def _claiming(self, world: World, index: int, each: Try, holder: int | None) -> Iterator[World]:
+    def _claiming(
+        self, state: SearchState, index: int, each: Attempt, holder: int | None
+    ) -> Iterator[SearchState]:
         if holder == index:
-            moved = _put(world, index, Try("dispatched", each.token))
+            moved = _with_attempt(state, index, Attempt("dispatched", each.token))
             yield msgspec.structs.replace(moved, calls=moved.calls | {index})
-        elif any(note.is_claim and note.owner == index for note in world.log):
-            yield _put(world, index, Try("unknown", each.token))
-        if self.told is Told.AFTER_VOID:
-            yield _send(_put(world, index, Try("voiding", each.token)), Note(False, index))
+        elif any(record.is_claim and record.owner == index for record in state.log):
+            yield _with_attempt(state, index, Attempt("unknown", each.token))
+        if self.timing is NotRunTiming.AFTER_VOID:
+            yield _send(
+                _with_attempt(state, index, Attempt("voiding", each.token)),
+                ModelRecord(False, index),
+            )
         else:
-            told = _say_not_run(world, index, each.token)
-            yield _send(told, Note(False, index), copies=1)
+            reported = _report_not_run(state, index, each.token)
+            yield _send(reported, ModelRecord(False, index), copies=1)
 
     def _voiding(
-        self, world: World, index: int, each: Try, accepted: frozenset[int]
-    ) -> Iterator[World]:
-        yield _put(world, index, Try("unknown", each.token))
-        for position, note in enumerate(world.log):
-            if not note.is_claim and note.owner == index and position in accepted:
-                yield _say_not_run(world, index, position)
-
-    def _step_network(self, world: World) -> Iterator[World]:
-        for item in world.sending:
-            note, left = item
-            rest = world.sending - {item}
-            if len(world.log) < self.log_max:
-                again = rest | {(note, left - 1)} if left > 1 else rest
-                yield msgspec.structs.replace(world, log=(*world.log, note), sending=again)
-            yield msgspec.structs.replace(world, sending=rest)
-        for index in world.calls:
-            rest_calls = world.calls - {index}
-            yield msgspec.structs.replace(world, calls=rest_calls, runs=world.runs + 1)
-            yield msgspec.structs.replace(world, calls=rest_calls)
-
-
-def _record(note: Note, index: int) -> Claim | Void:
-    attempt = RecordId(str(note.owner))
-    if note.is_claim:
-        return Claim(attempt, KEY, Incarnation(f"h.{note.owner}"), Position(note.token), 1.0)
+        self, state: SearchState, index: int, each: Attempt, accepted: frozenset[int]
+    ) -> Iterator[SearchState]:
+        yield _with_attempt(state, index, Attempt("unknown", each.token))
+        for position, record in enumerate(state.log):
+            if not record.is_claim and record.owner == index and position in accepted:
+                yield _report_not_run(state, index, position)
+
+    def _step_network(self, state: SearchState) -> Iterator[SearchState]:
+        for item in state.sending:
+            record, left = item
+            rest = state.sending - {item}
+            if len(state.log) < self.log_max:
+                again = rest | {(record, left - 1)} if left > 1 else rest
+                yield msgspec.structs.replace(state, log=(*state.log, record), sending=again)
+            yield msgspec.structs.replace(state, sending=rest)
+        for index in state.calls:
+            rest_calls = state.calls - {index}
+            yield msgspec.structs.replace(state, calls=rest_calls, runs=state.runs + 1)
+            yield msgspec.structs.replace(state, calls=rest_calls)
+
+
+def _to_log_record(record: ModelRecord, index: int) -> Claim | Void:
+    attempt = RecordId(str(record.owner))
+    if record.is_claim:
+        return Claim(attempt, KEY, Incarnation(f"h.{record.owner}"), Position(record.token), 1.0)
     return Void(RecordId(f"void-{index}"), KEY, attempt, 1.0)
 
 
-def _put(world: World, index: int, changed: Try) -> World:
-    tries = (*world.tries[:index], changed, *world.tries[index + 1 :])
-    return msgspec.structs.replace(world, tries=tries)
+def _with_attempt(state: SearchState, index: int, changed: Attempt) -> SearchState:
+    attempts = (*state.attempts[:index], changed, *state.attempts[index + 1 :])
+    return msgspec.structs.replace(state, attempts=attempts)
 
 
-def _send(world: World, note: Note, copies: int = COPIES) -> World:
-    return msgspec.structs.replace(world, sending=world.sending | {(note, copies)})
+def _send(state: SearchState, record: ModelRecord, copies: int = COPIES_MAX) -> SearchState:
+    return msgspec.structs.replace(state, sending=state.sending | {(record, copies)})
 
 
-def _say_not_run(world: World, index: int, token: int) -> World:
-    born = frozenset(i for i, each in enumerate(world.tries) if each.step != "unborn")
-    told = _put(world, index, Try("not_run", token))
-    return msgspec.structs.replace(told, barred=world.barred | born)
+def _report_not_run(state: SearchState, index: int, token: int) -> SearchState:
+    born = frozenset(i for i, each in enumerate(state.attempts) if each.step != "unborn")
+    reported = _with_attempt(state, index, Attempt("not_run", token))
+    return msgspec.structs.replace(reported, barred=state.barred | born)
 
 
-def _broken(before: World, after: World) -> str:
+def _find_violation(before: SearchState, after: SearchState) -> str:
     if after.runs > 1:
         return "ran twice"
     if after.runs > before.runs and (before.calls - after.calls) & before.barred:
         return "ran after not_run"
-    said = [e for e, f in zip(after.tries, before.tries, strict=True) if e.step != f.step]
-    if after.runs and any(each.step == "not_run" for each in said):
+    changed = [e for e, f in zip(after.attempts, before.attempts, strict=True) if e.step != f.step]
+    if after.runs and any(each.step == "not_run" for each in changed):
         return "not_run said after a run"
     return ""
 
 
 class TicketRule(Enum):
-    """What a ticket's process does after a connection failed: closes the ticket, or opens it."""
+    """Whether a failed connection closes a ticket or makes it usable again."""
 
     CLOSES = "closes"
     REOPENS = "reopens"
 
 
-class TicketWorld(msgspec.Struct, frozen=True):
-    """One state of a ticket: copies of the call on their way, and what its process did."""
+class TicketState(msgspec.Struct, frozen=True):
+    """One state of a ticket: copies of the call in transit, and what its process did."""
 
     arriving: int
-    state: str = "unused"
+    status: str = "unused"
     runs: int = 0
-    told_not_run: bool = False
+    reported_not_run: bool = False
 
 
-def search_tickets(rule: TicketRule, copies: int) -> Verdict:
-    """Search every order of a ticketed call's copies, failures to connect and a crash."""
-    first = TicketWorld(copies)
+def search_tickets(rule: TicketRule, copies: int) -> SearchResult:
+    """Search every order of the copies of a ticketed call, connection failures and a crash."""
+    first = TicketState(copies)
     seen = {first}
     queue = deque([first])
     while queue:
-        world = queue.popleft()
-        for following in _step_ticket(world, rule):
+        state = queue.popleft()
+        for following in _step_ticket(state, rule):
             if following.runs > 1:
-                return Verdict("ran twice", len(seen), False)
-            if following.runs and following.told_not_run:
-                return Verdict("ran after not_run", len(seen), False)
+                return SearchResult("ran twice", len(seen), False)
+            if following.runs and following.reported_not_run:
+                return SearchResult("ran after not_run", len(seen), False)
             if following not in seen:
                 seen.add(following)
                 queue.append(following)
-    return Verdict("", len(seen), False)
+    return SearchResult("", len(seen), False)
 
 
-def _step_ticket(world: TicketWorld, rule: TicketRule) -> Iterator[TicketWorld]:
+def _step_ticket(state: TicketState, rule: TicketRule) -> Iterator[TicketState]:
     replace = msgspec.structs.replace
-    if world.state in ("unused", "running"):
-        yield replace(world, state="gone")
-    if not world.arriving:
+    if state.status in ("unused", "running"):
+        yield replace(state, status="gone")
+    if not state.arriving:
         return
-    arrived = replace(world, arriving=world.arriving - 1)
-    if world.state == "unused":
-        yield replace(arrived, state="used", runs=world.runs + 1)
-        state = "closed" if rule is TicketRule.CLOSES else "unused"
-        yield replace(arrived, state=state, told_not_run=True)
+    arrived = replace(state, arriving=state.arriving - 1)
+    if state.status == "unused":
+        yield replace(arrived, status="used", runs=state.runs + 1)
+        status = "closed" if rule is TicketRule.CLOSES else "unused"
+        yield replace(arrived, status=status, reported_not_run=True)
     else:
         yield arrived
