--- a/libs/standins/ruddersaddle_standins/fault_rounds.py
+++ b/libs/standins/ruddersaddle_standins/fault_rounds.py
@@ -1,8 +1,8 @@
-"""Rounds of drawn faults against keyed calls and tickets, checked against the services' records.
+"""Randomised fault injection for keyed calls and tickets, checked against the services' records.
 
-Each round draws one or two faults and a handful of callers from a seed. A caller sends its key to
-one or more hosts, tries again, and either gives up at `not_run` (then the key must never run) or
-goes on with the retry token (then it runs at most once).
+Each round draws one or two faults and several callers from a seed. A caller sends its key to one
+or more hosts and retries. It either gives up at `not_run`, and then the key must never run, or
+continues with the retry token, and then the call runs at most once.
 """
 
 import random
@@ -18,7 +18,7 @@
 
 PATH = "/booking/slot"
 CALLERS = 8
-TRIES = 4
+ATTEMPTS_MAX = 4
 SETTLE_S = 1.0
 FAULT_S = 1.5
 HOST_FAULTS = ("kill_host", "freeze_host")
@@ -28,24 +28,24 @@
 NOT_RUN = "not_run"
 
 
-class Story(msgspec.Struct):
-    """What one caller did and was told."""
+class CallerHistory(msgspec.Struct):
+    """What one caller sent and which responses it received."""
 
     body: str
     key: str
     stops_at_not_run: bool
-    ticketed: bool
-    words: list[str] = []
+    uses_ticket: bool
+    outcomes: list[str] = []
     answers: list[bytes] = []
 
     @property
     def ended_not_run(self) -> bool:
-        """Whether the caller was told `not_run` and stopped there."""
-        return self.stops_at_not_run and bool(self.words) and self.words[-1] == NOT_RUN
+        """Whether the caller gave up after it received `not_run`."""
+        return self.stops_at_not_run and bool(self.outcomes) and self.outcomes[-1] == NOT_RUN
 
 
 class RoundReport(msgspec.Struct):
-    """What a round showed."""
+    """Counts and violations of one round."""
 
     seed: int
     faults: list[str]
@@ -54,18 +54,18 @@
     unknown: int = 0
     broken: int = 0
     runs: int = 0
-    doubled: list[str] = []
+    duplicated: list[str] = []
     false_not_run: list[str] = []
     wrong_answers: list[str] = []
 
     @property
     def is_good(self) -> bool:
-        """Whether nothing that must hold was broken."""
-        return not (self.doubled or self.false_not_run or self.wrong_answers)
+        """Whether the round violated nothing."""
+        return not (self.duplicated or self.false_not_run or self.wrong_answers)
 
 
 class FaultRounds:
-    """Runs rounds on one fleet; each leaves it whole again."""
+    """Runs rounds on one fleet, and removes the faults after each."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
@@ -75,26 +75,28 @@
         rng = random.Random(seed)
         kinds = list(HOST_FAULTS + LOG_FAULTS + SERVICE_FAULTS)
         faults = rng.sample(kinds, rng.choice((1, 2, 2)))
-        stories = [self._draw_story(rng, seed, number) for number in range(CALLERS)]
-        starts = [rng.uniform(0, FAULT_S) for _ in stories]
-        orders = [rng.sample(self.fleet.host_names(), 3) for _ in stories]
+        histories = [self._draw_caller(rng, seed, number) for number in range(CALLERS)]
+        starts = [rng.uniform(0, FAULT_S) for _ in histories]
+        orders = [rng.sample(self.fleet.host_names(), 3) for _ in histories]
         plans = [(kind, rng.uniform(0, 0.6), rng.choice(self._targets(kind))) for kind in faults]
-        with ThreadPoolExecutor(len(stories) + len(plans)) as pool:
-            done = [pool.submit(self._bring_about, *plan) for plan in plans]
-            told = [
-                pool.submit(self._tell, story, start, order)
-                for story, start, order in zip(stories, starts, orders, strict=True)
+        with ThreadPoolExecutor(len(histories) + len(plans)) as pool:
+            injections = [pool.submit(self._inject, *plan) for plan in plans]
+            calls = [
+                pool.submit(self._run_caller, history, start, order)
+                for history, start, order in zip(histories, starts, orders, strict=True)
             ]
-            for each in done + told:
+            for each in injections + calls:
                 each.result()
-        self._make_whole()
+        self._restore_fleet()
         time.sleep(SETTLE_S)
-        return self._report(seed, faults, stories)
+        return self._report(seed, faults, histories)
 
-    def _draw_story(self, rng: random.Random, seed: int, number: int) -> Story:
-        ticketed = rng.random() < 0.25
+    def _draw_caller(self, rng: random.Random, seed: int, number: int) -> CallerHistory:
+        uses_ticket = rng.random() < 0.25
         stops = rng.random() < 0.5
-        return Story(f"seed {seed} caller {number} {rng.random()}", new_key(), stops, ticketed)
+        return CallerHistory(
+            f"seed {seed} caller {number} {rng.random()}", new_key(), stops, uses_ticket
+        )
 
     def _targets(self, kind: str) -> list[str]:
         if kind in HOST_FAULTS:
@@ -103,7 +105,7 @@
             return ["log"]
         return [name for name in self.fleet.by_name if name.startswith("service-")]
 
-    def _bring_about(self, kind: str, after_s: float, target: str) -> None:
+    def _inject(self, kind: str, after_s: float, target: str) -> None:
         time.sleep(after_s)
         process = self.fleet.by_name[target]
         match kind:
@@ -121,55 +123,57 @@
             case _:
                 self.fleet.inject_fault(target, kind.rpartition("_")[2], 1.0, FAULT_S)
 
-    def _tell(self, story: Story, start_s: float, order: list[str]) -> None:
+    def _run_caller(self, history: CallerHistory, start_s: float, order: list[str]) -> None:
         time.sleep(start_s)
         client = Client(self.fleet.topology.workspaces[0], keep_alive=False)
-        if story.ticketed:
-            story.key = client.ticket(self.fleet.address_by_name[order[0]])
-            if not story.key:
+        if history.uses_ticket:
+            history.key = client.ticket(self.fleet.address_by_name[order[0]])
+            if not history.key:
                 return
         token = ""
-        for attempt in range(TRIES):
-            result = self._try(client, story, order, attempt, token)
-            story.words.append(result.outcome if result.status else "broken")
+        for attempt in range(ATTEMPTS_MAX):
+            result = self._send_attempt(client, history, order, attempt, token)
+            history.outcomes.append(result.outcome if result.status else "broken")
             if result.status == 200:
-                story.answers.append(result.body)
-            if story.words[-1] == ANSWERED or (
-                result.outcome == NOT_RUN and story.stops_at_not_run
+                history.answers.append(result.body)
+            if history.outcomes[-1] == ANSWERED or (
+                result.outcome == NOT_RUN and history.stops_at_not_run
             ):
                 return
             token = result.retry_token or token
             time.sleep(0.1)
 
-    def _try(
-        self, client: Client, story: Story, order: list[str], attempt: int, token: str
+    def _send_attempt(
+        self, client: Client, history: CallerHistory, order: list[str], attempt: int, token: str
     ) -> CallResult:
         headers = {"deadline_ms": "6000"}
         if token:
             headers["retry_token"] = token
         address = self.fleet.address_by_name[order[attempt % len(order)]]
-        if attempt == 0 and not story.ticketed:
-            return self._send_to_two(client, story, order, headers)
-        return client.call(address, PATH, story.body, story.key, **headers)
+        if attempt == 0 and not history.uses_ticket:
+            return self._send_to_two(client, history, order, headers)
+        return client.call(address, PATH, history.body, history.key, **headers)
 
     def _send_to_two(
-        self, client: Client, story: Story, order: list[str], headers: dict[str, str]
+        self, client: Client, history: CallerHistory, order: list[str], headers: dict[str, str]
     ) -> CallResult:
         """Send the same call to two hosts at once, as a balancer that retries does."""
         addresses = [self.fleet.address_by_name[name] for name in order[:2]]
         with ThreadPoolExecutor(2) as pool:
             sent = [
-                pool.submit(client.call, address, PATH, story.body, story.key, **headers)
+                pool.submit(client.call, address, PATH, history.body, history.key, **headers)
                 for address in addresses
             ]
             results = [each.result() for each in sent]
         for result in results:
             if result.status == 200:
-                story.answers.append(result.body)
-        words = {result.outcome for result in results if result.status}
-        return next((r for r in results if r.outcome == NOT_RUN and words == {NOT_RUN}), results[0])
+                history.answers.append(result.body)
+        outcomes = {result.outcome for result in results if result.status}
+        return next(
+            (r for r in results if r.outcome == NOT_RUN and outcomes == {NOT_RUN}), results[0]
+        )
 
-    def _make_whole(self) -> None:
+    def _restore_fleet(self) -> None:
         for kind in ("refuse", "hang", "lose", "late"):
             self.fleet.clear_fault("log", kind)
         for name, process in self.fleet.by_name.items():
@@ -183,23 +187,23 @@
                 self.fleet.replace_host(name)
         self.fleet.wait_recovered()
 
-    def _report(self, seed: int, faults: list[str], stories: list[Story]) -> RoundReport:
+    def _report(self, seed: int, faults: list[str], histories: list[CallerHistory]) -> RoundReport:
         report = RoundReport(seed, faults)
         runs = self.runs_by_body()
-        for story in stories:
-            count = runs.get(story.body, 0)
-            last = story.words[-1] if story.words else "broken"
+        for history in histories:
+            count = runs.get(history.body, 0)
+            last = history.outcomes[-1] if history.outcomes else "broken"
             report.answered += last == ANSWERED
             report.not_run += last == NOT_RUN
             report.unknown += last == "unknown"
             report.broken += last == "broken"
             report.runs += count
             if count > 1:
-                report.doubled.append(story.body)
-            if story.ended_not_run and count:
-                report.false_not_run.append(story.body)
-            if len(set(story.answers)) > 1 or (story.answers and not count):
-                report.wrong_answers.append(story.body)
+                report.duplicated.append(history.body)
+            if history.ended_not_run and count:
+                report.false_not_run.append(history.body)
+            if len(set(history.answers)) > 1 or (history.answers and not count):
+                report.wrong_answers.append(history.body)
         return report
 
     def runs_by_body(self) -> dict[str, int]:
@@ -208,11 +212,11 @@
 
 
 def describe_round(report: RoundReport) -> str:
-    """Return a round as one line; broken promises stand at its end."""
+    """Return a round as one line that ends with its violations."""
     counts = (
         f"answered {report.answered}, not_run {report.not_run}, unknown {report.unknown}, "
         f"broken {report.broken}, runs {report.runs}"
     )
-    wrong = report.doubled + report.false_not_run + report.wrong_answers
+    wrong = report.duplicated + report.false_not_run + report.wrong_answers
     verdict = "good" if report.is_good else f"WRONG: {wrong}"
     return f"seed {report.seed} {'+'.join(report.faults)}: {counts}: {verdict}"
