--- a/libs/standins/ruddersaddle_standins/engine_servers.py
+++ b/libs/standins/ruddersaddle_standins/engine_servers.py
@@ -1,8 +1,8 @@
 """Stand-in for a model engine: continuous batching, a prefix cache, streams, orders.
 
-Its answers are a pure function of prompt and weight version, so every token can be checked.
-Faults: `gap` leaves out that many cache events, `cross` sends that many events with another
-request's id, `die_at` ends streams without their end mark at that token, `refuse` answers 503.
+Its responses are a pure function of prompt and weight version, so that tests can check each token.
+Faults: `gap` omits that many cache events, `cross` sends that many events with the id of another
+request, `die_at` ends streams at that token without their end marker, `refuse` responds with 503.
 """
 
 import heapq
@@ -44,13 +44,13 @@
 
 GENERATION = 1
 REPORT_STEP_S = 0.05
-REQUESTS_KEPT = 500
-BATCH_SLOWNESS = 64.0
-"""Streams at which each token takes twice as long."""
+REMEMBERED_REQUESTS_MAX = 500
+HALF_SPEED_STREAMS = 64.0
+"""Number of concurrent streams at which each token takes twice as long."""
 
 
 class EngineRecord(msgspec.Struct):
-    """What the engine has done, for tests and measures."""
+    """Counters of the engine, read by tests and measurements."""
 
     requests: int = 0
     prompt_tokens: int = 0
@@ -65,7 +65,7 @@
 
 
 class Prefill:
-    """A prompt that waits for its turn to be computed."""
+    """A prompt that waits for its prefill."""
 
     def __init__(self, request: EngineRequest) -> None:
         self.request = request
@@ -77,24 +77,24 @@
 
 
 def token_text(prompt: str, version: str, index: int) -> str:
-    """Return token `index` of the answer to a prompt by a weight version."""
+    """Return token `index` of the response to a prompt by a weight version."""
     digest = blake2b(f"{version}\x00{index}\x00{prompt}".encode(), digest_size=2)
     return f"{digest.hexdigest()} "
 
 
 def answer_text(prompt: str, version: str, tokens: int) -> str:
-    """Return the whole answer to a prompt."""
+    """Return the complete response to a prompt."""
     return "".join(token_text(prompt, version, index) for index in range(tokens))
 
 
 def block_payload(key: BlockKey, size: int) -> bytes:
-    """Return the only right content of a block."""
+    """Return the only correct content of a block."""
     seed = blake2b(key.encode(), digest_size=64).digest()
     return (seed * (size // len(seed) + 1))[:size]
 
 
 class EngineServer(Server):
-    """One engine; `weights` is the weight store's address, empty for none."""
+    """One engine; `weights` is the address of the weight store, empty if there is none."""
 
     def __init__(self, speeds: Speeds, version: str, weights: str = "") -> None:
         super().__init__()
@@ -111,9 +111,9 @@
         self.keys_by_request: OrderedDict[str, list[BlockKey]] = OrderedDict()
         self.reports: deque[tuple[float, LoadReport]] = deque()
         self._queue: list[tuple[int, int, Prefill]] = []
-        self._order = itertools.count()
-        self._queued: Signal = Signal()
-        self._waiting_tokens = 0
+        self._next_number = itertools.count()
+        self._queue_filled: Signal = Signal()
+        self._queued_tokens = 0
 
     def run(self, port: int) -> None:
         """Serve until the process is ended."""
@@ -122,7 +122,7 @@
         super().run(port)
 
     def answer(self, method: str, path: str, environ: Environ) -> Answer:
-        """Answer one request."""
+        """Handle one request."""
         match method, path:
             case "POST", "/v1/completions":
                 return self._complete(read_json(environ, EngineRequest))
@@ -140,7 +140,7 @@
                 held = environ.get("HTTP_HELD_BLOCKS", "")
                 return self._import(read_bytes(environ), held.split(",") if held else [])
             case "POST", "/v1/orders":
-                return self._take_order(read_json(environ, Order))
+                return self._handle_order(read_json(environ, Order))
             case "GET", "/record":
                 return json_answer(self.record)
             case "POST", "/drop":
@@ -150,7 +150,7 @@
         return json_answer(KeyList(self.keys_by_request.get(request_id, [])))
 
     def _complete(self, request: EngineRequest) -> Answer:
-        if self.has("refuse") or self.running >= self.speeds.running_max:
+        if self.is_active("refuse") or self.running >= self.speeds.running_max:
             return Answer(503)
         if request.version != self.version:
             return json_answer(OtherVersion(self.version), 409)
@@ -158,17 +158,17 @@
         self.record.last_started = time.time()
         prefill = Prefill(request)
         prefill.missing = self._count_missing(prefill)
-        self._waiting_tokens += prefill.missing
-        entry = (request.priority, next(self._order), prefill)
+        self._queued_tokens += prefill.missing
+        entry = (request.priority, next(self._next_number), prefill)
         heapq.heappush(self._queue, entry)
-        if not self._queued.ready():
-            self._queued.send(None)
+        if not self._queue_filled.ready():
+            self._queue_filled.send(None)
         return Answer(chunks=self._stream(prefill, self.version), kind="text/event-stream")
 
     def _run_prefills(self) -> None:
         while True:
-            self._queued.wait()
-            self._queued = Signal()
+            self._queue_filled.wait()
+            self._queue_filled = Signal()
             while self._queue:
                 prefill = heapq.heappop(self._queue)[2]
                 self._prefill(prefill)
@@ -177,7 +177,7 @@
         missing = self._count_missing(prefill)
         prefill.cached_tokens = max(0, prefill.tokens - missing)
         eventlet.sleep(missing / self.speeds.prefill_tokens_s)
-        self._waiting_tokens -= prefill.missing
+        self._queued_tokens -= prefill.missing
         self._store(prefill.keys)
         self.record.prompt_tokens += prefill.tokens
         self.record.cached_tokens += prefill.cached_tokens
@@ -198,8 +198,8 @@
         try:
             prefill.done.wait()
             for index in range(request.first_token, request.max_tokens):
-                eventlet.sleep(self.speeds.token_s * (1 + self.running / BATCH_SLOWNESS))
-                if self.has("die_at") and index >= self.value("die_at"):
+                eventlet.sleep(self.speeds.token_s * (1 + self.running / HALF_SPEED_STREAMS))
+                if self.is_active("die_at") and index >= self.strength("die_at"):
                     return
                 self.record.tokens += 1
                 yield self._event(prefill, version, index)
@@ -215,12 +215,12 @@
         keys = block_keys(request.salt, text)
         self._store(keys)
         self.keys_by_request[request.id] = keys
-        if len(self.keys_by_request) > REQUESTS_KEPT:
+        if len(self.keys_by_request) > REMEMBERED_REQUESTS_MAX:
             self.keys_by_request.popitem(last=False)
 
     def _event(self, prefill: Prefill, version: str, index: int) -> bytes:
         request = prefill.request
-        shown = "crossed" if self.spend("cross") else request.id
+        shown = "crossed" if self.consume("cross") else request.id
         text = token_text(request.prompt, version, index)
         piece = f'"delta":{{"content":"{text}"}}' if request.chat else f'"text":"{text}"'
         end = ""
@@ -234,10 +234,10 @@
         return f'{head}"choices":[{{"index":0,{piece}}}]{end}}}\n\n'.encode()
 
     def _store(self, keys: list[BlockKey]) -> None:
-        """Cache a chain; its end is dropped first, as a chain without its start is of no use."""
+        """Cache a chain from its end, which is evicted first: it is useless without its start."""
         for key in reversed(keys):
             if key not in self.cache:
-                self._note(True, key)
+                self._record_cache_event(True, key)
             self.cache[key] = None
             self.cache.move_to_end(key)
         self._trim(self.speeds.cache_blocks)
@@ -245,9 +245,9 @@
     def _trim(self, blocks: int) -> None:
         while len(self.cache) > blocks:
             key, _ = self.cache.popitem(last=False)
-            self._note(False, key)
+            self._record_cache_event(False, key)
 
-    def _note(self, stored: bool, key: BlockKey) -> None:
+    def _record_cache_event(self, stored: bool, key: BlockKey) -> None:
         self.events.append(CacheEvent(len(self.events), stored, key))
         self.event_times.append(time.time())
 
@@ -262,20 +262,20 @@
                 break
             eventlet.sleep(REPORT_STEP_S)
         found = self.events[start:end]
-        if len(found) > 1 and self.spend("gap"):
+        if len(found) > 1 and self.consume("gap"):
             del found[len(found) // 2]
         return json_answer(EventPage(self.epoch, end, found))
 
     def _run_reports(self) -> None:
         while True:
             speed = self.speeds.prefill_tokens_s
-            report = LoadReport(self._waiting_tokens, self.running, self.version, speed, 0.0)
+            report = LoadReport(self._queued_tokens, self.running, self.version, speed, 0.0)
             self.reports.append((time.time(), report))
-            while len(self.reports) > 1 and self._is_old(self.reports[1][0]):
+            while len(self.reports) > 1 and self._is_past_lag(self.reports[1][0]):
                 self.reports.popleft()
             eventlet.sleep(REPORT_STEP_S)
 
-    def _is_old(self, at: float) -> bool:
+    def _is_past_lag(self, at: float) -> bool:
         return at < time.time() - self.speeds.load_lag_s
 
     def _lagged_report(self) -> LoadReport:
@@ -307,7 +307,7 @@
         self._store(keys)
         return json_answer(len(keys))
 
-    def _take_order(self, order: Order) -> Answer:
+    def _handle_order(self, order: Order) -> Answer:
         if self.speeds.checks_fences and order.fence < self.fence:
             self.record.orders_refused += 1
             return Answer(409)
--- a/libs/standins/ruddersaddle_standins/list_servers.py
+++ b/libs/standins/ruddersaddle_standins/list_servers.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's host list, with a lag, and for the rate-limited weight store."""
+"""Stand-ins for the platform's host list, which lags, and for the rate-limited weight store."""
 
 import time
 from collections import deque
@@ -18,11 +18,11 @@
 from ruddersaddle_standins.speeds import Speeds
 
 FULL_RATE_LOADS = 2
-STEP_S = 0.02
+LOAD_STEP_S = 0.02
 
 
-class Version(msgspec.Struct):
-    """The list as set at a time."""
+class ListVersion(msgspec.Struct):
+    """One version of the list, and the time at which it was set."""
 
     number: int
     at: float
@@ -30,28 +30,28 @@
 
 
 class ListServer(Server):
-    """Shows the list that tests set, as it was a lag ago; fault `refuse` answers 503."""
+    """Serves the list that tests set, delayed by the lag; fault `refuse` responds with 503."""
 
     def __init__(self, speeds: Speeds) -> None:
         super().__init__()
         self.speeds = speeds
-        self.versions: deque[Version] = deque([Version(0, 0.0, [])])
+        self.versions: deque[ListVersion] = deque([ListVersion(0, 0.0, [])])
 
     def answer(self, method: str, path: str, environ: Environ) -> Answer:
-        """Take a new list, or answer a poll."""
+        """Set a new list, or respond to a poll."""
         if method == "PUT":
             hosts = read_json(environ, list[HostRow])
             number = self.versions[-1].number + 1
-            self.versions.append(Version(number, time.time(), hosts))
+            self.versions.append(ListVersion(number, time.time(), hosts))
             return json_answer(number)
-        if self.has("refuse"):
+        if self.is_active("refuse"):
             return Answer(503)
-        shown = self._shown()
-        if int(read_query(environ, "since", -1)) == shown.number:
-            return json_answer(HostPage(shown.number, None))
-        return json_answer(HostPage(shown.number, shown.hosts))
+        visible = self._visible_version()
+        if int(read_query(environ, "since", -1)) == visible.number:
+            return json_answer(HostPage(visible.number, None))
+        return json_answer(HostPage(visible.number, visible.hosts))
 
-    def _shown(self) -> Version:
+    def _visible_version(self) -> ListVersion:
         oldest = time.time() - self.speeds.list_lag_s
         while len(self.versions) > 1 and self.versions[1].at <= oldest:
             self.versions.popleft()
@@ -59,23 +59,23 @@
 
 
 class WeightServer(Server):
-    """The weight store: a load takes its time, longer while more than two run."""
+    """The weight store; loads take longer while more than two run at once."""
 
     def __init__(self, speeds: Speeds) -> None:
         super().__init__()
         self.speeds = speeds
-        self.loading = 0
-        self.most_at_once = 0
+        self.active_loads = 0
+        self.concurrent_max = 0
 
     def answer(self, method: str, path: str, environ: Environ) -> Answer:
-        """Answer a load once it is done, or the most loads that ran at once."""
+        """Respond to a load once it is done, or return the most loads that ran at once."""
         if path == "/most":
-            return json_answer(self.most_at_once)
-        self.loading += 1
-        self.most_at_once = max(self.most_at_once, self.loading)
+            return json_answer(self.concurrent_max)
+        self.active_loads += 1
+        self.concurrent_max = max(self.concurrent_max, self.active_loads)
         done = 0.0
         while done < self.speeds.weight_s:
-            eventlet.sleep(STEP_S)
-            done += STEP_S * min(1.0, FULL_RATE_LOADS / self.loading)
-        self.loading -= 1
+            eventlet.sleep(LOAD_STEP_S)
+            done += LOAD_STEP_S * min(1.0, FULL_RATE_LOADS / self.active_loads)
+        self.active_loads -= 1
         return json_answer(self.speeds.weight_s)
--- a/libs/standins/ruddersaddle_standins/log_servers.py
+++ b/libs/standins/ruddersaddle_standins/log_servers.py
@@ -1,7 +1,7 @@
-"""Stand-in for the append-only log: offsets, limited retention and rate, outages, lost answers.
+"""Stand-in for the append-only log: offsets, limited retention and rate, outages, lost responses.
 
-Faults: `refuse` answers 503, `hang` answers nothing, `lose` drops the answers of that many appends
-after they have taken effect, `late` lets appends take effect that many seconds later.
+Faults: `refuse` responds with 503, `hang` does not respond, `lose` drops the responses to that many
+appends after they have taken effect, `late` delays the effect of appends by that many seconds.
 """
 
 import time
@@ -25,8 +25,8 @@
 HANG_STEP_S = 0.05
 
 
-class Kept(msgspec.Struct):
-    """One append that the log keeps."""
+class StoredRecord(msgspec.Struct):
+    """One record that the log stores."""
 
     offset: int
     time: float
@@ -38,48 +38,48 @@
 
     first: int
     next: int
-    records: list[Kept]
+    records: list[StoredRecord]
 
 
 class Appended(msgspec.Struct):
-    """The answer to an append."""
+    """The response to an append."""
 
     offset: int
 
 
 class LogStream:
-    """One stream's appends."""
+    """The records of one stream."""
 
     def __init__(self, retention: int) -> None:
         self.retention = retention
-        self.kept: list[Kept] = []
+        self.records: list[StoredRecord] = []
         self.first = 0
-        self.grown: Signal = Signal()
+        self.appended: Signal = Signal()
 
     @property
     def next(self) -> int:
-        """The next offset."""
-        return self.first + len(self.kept)
+        """Offset of the next record."""
+        return self.first + len(self.records)
 
     def append(self, data: str) -> int:
-        """Keep an append and return its offset."""
+        """Store a record and return its offset."""
         offset = self.next
-        self.kept.append(Kept(offset, time.time(), data))
-        surplus = len(self.kept) - self.retention
+        self.records.append(StoredRecord(offset, time.time(), data))
+        surplus = len(self.records) - self.retention
         if surplus > 0:
-            del self.kept[:surplus]
+            del self.records[:surplus]
             self.first += surplus
-        grown, self.grown = self.grown, Signal()
-        grown.send(None)
+        appended, self.appended = self.appended, Signal()
+        appended.send(None)
         return offset
 
     def read(self, start: int, wait_s: float, limit: int) -> Page:
-        """Return a page, waiting for something new."""
+        """Return a page, after waiting up to `wait_s` for a new record."""
         if start >= self.next and wait_s > 0:
             with eventlet.Timeout(wait_s, False):
-                self.grown.wait()
+                self.appended.wait()
         begin = max(start, self.first)
-        records = self.kept[begin - self.first : begin - self.first + limit]
+        records = self.records[begin - self.first : begin - self.first + limit]
         return Page(self.first, max(begin + len(records), start), records)
 
 
@@ -90,16 +90,16 @@
         super().__init__()
         self.speeds = speeds
         self.by_name: dict[str, LogStream] = {}
-        self.turn = Semaphore(1)
+        self.append_lock = Semaphore(1)
         self.appends = 0
 
     def answer(self, method: str, path: str, environ: Environ) -> Answer:
-        """Answer an append, a read, or a question for the count of appends."""
+        """Handle an append, a read, or a request for the number of appends."""
         if path == "/appends":
             return json_answer(self.appends)
-        while self.has("hang"):
+        while self.is_active("hang"):
             eventlet.sleep(HANG_STEP_S)
-        if self.has("refuse"):
+        if self.is_active("refuse"):
             return Answer(503)
         name = path.removeprefix("/streams/")
         if name not in self.by_name:
@@ -109,14 +109,14 @@
         start = int(read_query(environ, "from", 0))
         limit = int(read_query(environ, "limit", 1000))
         page = self.by_name[name].read(start, read_query(environ, "wait", 0), limit)
-        return Answer(503) if self.has("refuse") else json_answer(page)
+        return Answer(503) if self.is_active("refuse") else json_answer(page)
 
     def _append(self, stream: LogStream, data: str) -> Answer:
-        with self.turn:
+        with self.append_lock:
             eventlet.sleep(self.speeds.append_s)
-        eventlet.sleep(self.value("late"))
+        eventlet.sleep(self.strength("late"))
         offset = stream.append(data)
         self.appends += 1
-        if self.spend("lose"):
+        if self.consume("lose"):
             eventlet.sleep(HANG_S)
         return json_answer(Appended(offset))
--- a/libs/standins/ruddersaddle_standins/servers.py
+++ b/libs/standins/ruddersaddle_standins/servers.py
@@ -1,4 +1,4 @@
-"""What all stand-ins share: a WSGI server on green threads, typed bodies, and faults by request."""
+"""Base of all stand-ins: a WSGI server on green threads, typed bodies, and injected faults."""
 
 from collections.abc import Callable, Iterable
 from typing import Any, TypeVar
@@ -13,7 +13,7 @@
 
 
 class Fault(msgspec.Struct):
-    """A fault to bring about: its kind, its strength and how long it lasts, in seconds."""
+    """A fault to inject: its kind, its strength and its duration in seconds."""
 
     kind: str
     value: float = 1.0
@@ -21,7 +21,7 @@
 
 
 class Answer(msgspec.Struct):
-    """A stand-in's answer: a status with bytes, or chunks."""
+    """A response of a stand-in: a status with a body, or with chunks."""
 
     status: int = 200
     body: bytes = b""
@@ -30,41 +30,41 @@
 
 
 class Server:
-    """A stand-in's server; subclasses answer requests by method and path."""
+    """Server of a stand-in; subclasses handle requests by method and path."""
 
     def __init__(self) -> None:
         self.until_by_kind: dict[str, float] = {}
-        self.value_by_kind: dict[str, float] = {}
+        self.strength_by_kind: dict[str, float] = {}
 
     def answer(self, method: str, path: str, environ: Environ) -> Answer:
-        """Answer one request."""
+        """Handle one request."""
         raise NotImplementedError
 
-    def has(self, kind: str) -> bool:
-        """Return whether a fault is on."""
+    def is_active(self, kind: str) -> bool:
+        """Return whether a fault is active."""
         return self.until_by_kind.get(kind, 0.0) > eventlet.hubs.get_hub().clock()
 
-    def value(self, kind: str) -> float:
-        """Return a fault's strength, 0 if it is off."""
-        return self.value_by_kind[kind] if self.has(kind) else 0.0
+    def strength(self, kind: str) -> float:
+        """Return the strength of a fault, 0 if it is inactive."""
+        return self.strength_by_kind[kind] if self.is_active(kind) else 0.0
 
-    def spend(self, kind: str) -> bool:
-        """Use up one of a fault's counted times; return whether there was one."""
-        if self.value(kind) < 1:
+    def consume(self, kind: str) -> bool:
+        """Consume one occurrence of a counted fault; return whether one was left."""
+        if self.strength(kind) < 1:
             return False
-        self.value_by_kind[kind] -= 1
+        self.strength_by_kind[kind] -= 1
         return True
 
-    def _take_fault(self, fault: Fault) -> None:
+    def _apply_fault(self, fault: Fault) -> None:
         now = eventlet.hubs.get_hub().clock()
         self.until_by_kind[fault.kind] = now + fault.seconds
-        self.value_by_kind[fault.kind] = fault.value
+        self.strength_by_kind[fault.kind] = fault.value
 
     def __call__(self, environ: Environ, start: Callable) -> Iterable[bytes]:
         """Serve one request over WSGI."""
         method, path = environ["REQUEST_METHOD"], environ["PATH_INFO"]
         if path == "/faults":
-            self._take_fault(read_json(environ, Fault))
+            self._apply_fault(read_json(environ, Fault))
             answer = Answer()
         elif path == "/healthz":
             answer = Answer()
@@ -85,17 +85,17 @@
 
 
 def read_bytes(environ: Environ) -> bytes:
-    """Return a request's body."""
+    """Return the body of a request."""
     return environ["wsgi.input"].read(int(environ.get("CONTENT_LENGTH") or 0))
 
 
 def read_json(environ: Environ, kind: type[T]) -> T:
-    """Return a request's body as a typed value."""
+    """Return the JSON body of a request, decoded to a type."""
     return msgspec.json.decode(read_bytes(environ), type=kind)
 
 
 def read_query(environ: Environ, name: str, default: float) -> float:
-    """Return a number of the query, or a default."""
+    """Return a number from the query string, or a default."""
     for pair in environ.get("QUERY_STRING", "").split("&"):
         key, _, value = pair.partition("=")
         if key == name:
@@ -104,5 +104,5 @@
 
 
 def json_answer(value: object, status: int = 200) -> Answer:
-    """Return a value as a JSON answer."""
+    """Return a value as a JSON response."""
     return Answer(status, msgspec.json.encode(value))
--- a/libs/standins/ruddersaddle_standins/service_servers.py
+++ b/libs/standins/ruddersaddle_standins/service_servers.py
@@ -1,7 +1,7 @@
-"""Stand-in for a plain service: records every run.
+"""Stand-in for a plain service that records every run.
 
-Faults: `refuse` answers 503 without running, `slow` makes a run take that many seconds, `drop`
-ends that many calls after they ran, without an answer.
+Faults: `refuse` responds with 503 without running, `slow` makes a run take that many seconds,
+`drop` runs that many calls without responding to them.
 """
 
 import time
@@ -13,7 +13,7 @@
 from ruddersaddle_standins.servers import Answer, Environ, Server, json_answer, read_bytes
 from ruddersaddle_standins.speeds import Speeds
 
-DROP_S = 60.0
+DROP_WAIT_S = 60.0
 
 
 class Run(msgspec.Struct):
@@ -28,31 +28,31 @@
 
 
 class ServiceServer(Server):
-    """One plain service; its record of runs is a file, so that it outlives the process."""
+    """One plain service; it records runs in a file, so that they outlive the process."""
 
     def __init__(self, speeds: Speeds, record: str) -> None:
         super().__init__()
         self.speeds = speeds
-        self.record = Path(record).open("ab")  # noqa: SIM115
-        self.count = 0
+        self.run_file = Path(record).open("ab")  # noqa: SIM115
+        self.run_count = 0
 
     def answer(self, method: str, path: str, environ: Environ) -> Answer:
         """Run a call."""
         body = read_bytes(environ).decode(errors="replace")
-        if self.has("refuse"):
+        if self.is_active("refuse"):
             return Answer(503)
         key = environ.get("HTTP_IDEMPOTENCY_KEY", "")
         workspace = environ.get("HTTP_WORKSPACE", "")
-        self._note(Run(time.time(), method, path, key, workspace, body))
-        eventlet.sleep(self.value("slow") or self.speeds.service_s)
-        if self.spend("drop"):
-            eventlet.sleep(DROP_S)
-        return json_answer({"number": self.count, "echo": body})
-
-    def _note(self, run: Run) -> None:
-        self.count += 1
-        self.record.write(msgspec.json.encode(run) + b"\n")
-        self.record.flush()
+        self._record_run(Run(time.time(), method, path, key, workspace, body))
+        eventlet.sleep(self.strength("slow") or self.speeds.service_s)
+        if self.consume("drop"):
+            eventlet.sleep(DROP_WAIT_S)
+        return json_answer({"number": self.run_count, "echo": body})
+
+    def _record_run(self, run: Run) -> None:
+        self.run_count += 1
+        self.run_file.write(msgspec.json.encode(run) + b"\n")
+        self.run_file.flush()
 
 
 def read_runs(path: Path) -> list[Run]:
--- a/libs/standins/ruddersaddle_standins/store_servers.py
+++ b/libs/standins/ruddersaddle_standins/store_servers.py
@@ -1,8 +1,8 @@
-"""Stand-in for a store host: memory and disk tiers, blocks written in pieces, a link of some rate.
+"""Stand-in for a store host: memory and disk tiers, blocks written in pieces, a rate-limited link.
 
-A block is visible from its first byte on, as memory that is read remotely is. Faults: `slow`
-divides the link's rate, `full` takes no more blocks, `torn` cuts that many blocks that are read,
-`reused` gives another block's bytes for that many, `flip` changes one byte of that many.
+A block is visible from its first byte on, as it is in memory that is read remotely. Faults: `slow`
+divides the rate of the link, `full` rejects writes, `torn` truncates that many blocks on reading,
+`reused` returns the bytes of another block for that many, `flip` changes one byte of that many.
 """
 
 from collections import OrderedDict
@@ -29,7 +29,7 @@
 
 
 class StoreRecord(msgspec.Struct):
-    """What the store host has done."""
+    """Counters of the store host."""
 
     read_blocks: int = 0
     written_blocks: int = 0
@@ -52,7 +52,7 @@
         self.link = Semaphore(1)
 
     def answer(self, method: str, path: str, environ: Environ) -> Answer:
-        """Answer one request."""
+        """Handle one request."""
         match method, path:
             case "POST", "/v1/find":
                 return json_answer(self._find(read_json(environ, KeyList).keys))
@@ -80,7 +80,7 @@
         pieces = []
         for key in keys:
             slow = self.speeds.disk_slowness if key in self.disk else 1.0
-            block = self._spoil(bytes(self._block(key)))
+            block = self._corrupt(bytes(self._block(key)))
             if not block:
                 break
             self.record.read_blocks += 1
@@ -88,25 +88,25 @@
             pieces.append(block)
         return pieces
 
-    def _spoil(self, block: bytes) -> bytes:
-        spoiled = block
-        if self.spend("torn"):
-            spoiled = block[: HEADER.size] + block[HEADER.size : len(block) // 2]
-        elif self.spend("reused") and self.memory:
-            spoiled = bytes(next(iter(self.memory.values())))
-        elif self.spend("flip"):
-            spoiled = block[:-1] + bytes([block[-1] ^ 1])
-        self.record.spoiled_blocks += spoiled != block
-        return spoiled
+    def _corrupt(self, block: bytes) -> bytes:
+        corrupted = block
+        if self.consume("torn"):
+            corrupted = block[: HEADER.size] + block[HEADER.size : len(block) // 2]
+        elif self.consume("reused") and self.memory:
+            corrupted = bytes(next(iter(self.memory.values())))
+        elif self.consume("flip"):
+            corrupted = block[:-1] + bytes([block[-1] ^ 1])
+        self.record.spoiled_blocks += corrupted != block
+        return corrupted
 
     def _move(self, size: float) -> None:
-        rate = self.speeds.link_bytes_s / max(1.0, self.value("slow"))
+        rate = self.speeds.link_bytes_s / max(1.0, self.strength("slow"))
         self.record.moved_bytes += int(size)
         with self.link:
             eventlet.sleep(size / rate)
 
     def _write(self, data: bytes) -> Answer:
-        if self.has("full"):
+        if self.is_active("full"):
             return Answer(FULL)
         for frame in split_frames(data):
             key = BlockKey(HEADER.unpack_from(frame)[1].hex())
@@ -117,7 +117,7 @@
             self.bytes_by_tier[id(self.memory)] += len(frame) - len(frame) // 2
             self.sealed.add(key)
             self.record.written_blocks += 1
-            self._make_room()
+            self._evict()
         return json_answer(len(data))
 
     def _put(self, tier: OrderedDict, key: BlockKey, block: bytearray) -> None:
@@ -125,7 +125,7 @@
         tier[key] = block
         self.bytes_by_tier[id(tier)] += len(block) - len(old)
 
-    def _make_room(self) -> None:
+    def _evict(self) -> None:
         while self.bytes_by_tier[id(self.memory)] > self.speeds.memory_bytes:
             key, block = self.memory.popitem(last=False)
             self.bytes_by_tier[id(self.memory)] -= len(block)
