--- a/libs/standins/ruddersaddle_standins/benches.py
+++ b/libs/standins/ruddersaddle_standins/benches.py
@@ -1,6 +1,6 @@
-"""The bench: one trace through the product and plain baselines, in turn, in one run.
+"""Benchmark: replays one trace with the product and with simple baselines, one after another.
 
-Figures are ratios side by side; nothing here is asserted by a clock.
+The figures are compared as ratios within one run; nothing is asserted on absolute times.
 """
 
 import sys
@@ -11,7 +11,7 @@
 from ruddersaddle.traces import TraceLine, write_trace
 
 from ruddersaddle_standins.fleets import Fleet, Topology
-from ruddersaddle_standins.replays import Replay, Replayed, counts_of
+from ruddersaddle_standins.replays import Replay, ReplayResult, sum_counts
 from ruddersaddle_standins.reports import write_report
 from ruddersaddle_standins.topologies import NAMES, load_topology
 from ruddersaddle_standins.trace_generators import (
@@ -28,7 +28,7 @@
 
 
 class Variant(msgspec.Struct, frozen=True):
-    """One way to run: a policy, kept context or not, marked events or not."""
+    """One configuration: a routing policy, with or without cached contexts and announced events."""
 
     name: str
     policy: str
@@ -37,21 +37,21 @@
     settings: dict[str, str] = {}
 
 
-PLAIN = {"routing.backlog_s": "0"}
-"""A plain baseline sends on what comes; nothing waits at hosts in fair turn."""
+BASELINE_SETTINGS = {"routing.backlog_s": "0"}
+"""Baselines forward requests at once; hosts don't queue them for fair scheduling."""
 BASELINES = (
-    Variant("round robin", "round_robin", False, settings=PLAIN),
-    Variant("least load", "least_load", False, settings=PLAIN),
-    Variant("prefix hash", "hash", False, settings=PLAIN),
-    Variant("round robin, kept", "round_robin", True, settings=PLAIN),
-    Variant("least load, kept", "least_load", True, settings=PLAIN),
-    Variant("prefix hash, kept", "hash", True, settings=PLAIN),
+    Variant("round robin", "round_robin", False, settings=BASELINE_SETTINGS),
+    Variant("least load", "least_load", False, settings=BASELINE_SETTINGS),
+    Variant("prefix hash", "hash", False, settings=BASELINE_SETTINGS),
+    Variant("round robin, kept", "round_robin", True, settings=BASELINE_SETTINGS),
+    Variant("least load, kept", "least_load", True, settings=BASELINE_SETTINGS),
+    Variant("prefix hash, kept", "hash", True, settings=BASELINE_SETTINGS),
 )
 PRODUCT = Variant("ruddersaddle", "predicted", True, True)
 
 
 class Figures(msgspec.Struct):
-    """One variant's figures: milliseconds, shares, megabytes, counts."""
+    """Figures of one variant: milliseconds, shares, megabytes, counts."""
 
     name: str
     p50_ms: float
@@ -73,7 +73,7 @@
 
 
 def generate(name: str, seed: int, workspaces: tuple[str, ...]) -> list[TraceLine]:
-    """Return a deployment's trace with its stated outcomes."""
+    """Return the trace of a deployment with its expected outcomes."""
     make = generate_akureyri if name == "akureyri" else generate_casablanca
     lines = make(seed, workspaces)
     return lines + state_outcomes(lines)
@@ -81,8 +81,8 @@
 
 def run_variant(
     topology: Topology, lines: list[TraceLine], template_tokens: int, variant: Variant
-) -> tuple[Replayed, Figures]:
-    """Replay a trace with one variant on a fleet of its own."""
+) -> tuple[ReplayResult, Figures]:
+    """Replay a trace with one variant on a new fleet."""
     settings = {
         **topology.settings,
         "routing.policy": variant.policy,
@@ -92,15 +92,17 @@
     }
     changed = msgspec.structs.replace(topology, settings=settings)
     with Fleet(changed) as fleet:
-        replayed = Replay(fleet, lines, template_tokens).run(variant.marks_events)
-        return replayed, measure(variant.name, replayed, topology, counts_of(fleet))
+        replay_result = Replay(fleet, lines, template_tokens).run(variant.marks_events)
+        return replay_result, measure(variant.name, replay_result, topology, sum_counts(fleet))
 
 
-def measure(name: str, replayed: Replayed, topology: Topology, counts: dict[str, int]) -> Figures:
-    """Return a replay's figures."""
-    first = replayed.first_ms()
+def measure(
+    name: str, replay_result: ReplayResult, topology: Topology, counts: dict[str, int]
+) -> Figures:
+    """Return the figures of a replay."""
+    first = replay_result.first_ms()
     quiet = set(topology.workspaces[2:])
-    peak = replayed.first_ms(after_s=EVENT_AT_S)
+    peak = replay_result.first_ms(after_s=EVENT_AT_S)
     p50, p95, p99 = np.percentile(first, (50, 95, 99))
     return Figures(
         name=name,
@@ -108,25 +110,25 @@
         p95_ms=p95,
         p99_ms=p99,
         peak_p95_ms=float(np.percentile(peak, 95)),
-        quiet_p95_ms=float(np.percentile(replayed.first_ms(quiet, EVENT_AT_S), 95)),
-        gap_p95_ms=float(np.percentile(replayed.gaps_ms(), 95)),
-        recomputed=replayed.recomputed_share,
-        link_mb=replayed.link_bytes / MEGABYTE,
-        refused=replayed.refused,
-        cut=replayed.cut,
-        wrong=int(replayed.outcome("wrong_answers")),
-        doubled=replayed.doubled_calls,
-        cpu_s=sum(use.cpu_s for use in replayed.uses) / len(replayed.uses),
-        resident_mb=max(use.resident_bytes for use in replayed.uses) / MEGABYTE,
-        appends_s=replayed.appends / replayed.seconds,
+        quiet_p95_ms=float(np.percentile(replay_result.first_ms(quiet, EVENT_AT_S), 95)),
+        gap_p95_ms=float(np.percentile(replay_result.gaps_ms(), 95)),
+        recomputed=replay_result.recomputed_share,
+        link_mb=replay_result.link_bytes / MEGABYTE,
+        refused=replay_result.refused,
+        cut=replay_result.cut,
+        wrong=int(replay_result.outcome("wrong_answers")),
+        doubled=replay_result.doubled_calls,
+        cpu_s=sum(use.cpu_s for use in replay_result.usages) / len(replay_result.usages),
+        resident_mb=max(use.resident_bytes for use in replay_result.usages) / MEGABYTE,
+        appends_s=replay_result.appends / replay_result.seconds,
         counts=counts,
     )
 
 
 def run_bench(seed: int, names: tuple[str, ...] = NAMES, quick: bool = False) -> bool:
-    """Run all variants on the traces of the deployments; return whether stated outcomes hold."""
+    """Run all variants on the deployments' traces; return whether expected outcomes are met."""
     FOLDER.mkdir(exist_ok=True)
-    good = True
+    passed = True
     for name in names:
         topology = load_topology(name)
         lines = generate(name, seed, topology.workspaces)
@@ -135,33 +137,34 @@
         results = []
         print(f"{name}, seed {seed}, {len(lines)} lines")
         for variant in variants:
-            replayed, figures = run_variant(topology, lines, TEMPLATE_TOKENS[name], variant)
-            results.append((replayed, figures))
+            replay_result, figures = run_variant(topology, lines, TEMPLATE_TOKENS[name], variant)
+            results.append((replay_result, figures))
             print(format_row(figures), flush=True)
-        broken = results[-1][0].broken(lines)
-        good = good and not broken
+        failed = results[-1][0].failed_outcomes(lines)
+        passed = passed and not failed
         print_ratios(results)
-        print(f"stated outcomes: {broken or 'all hold'}")
-        good = run_faults(name, topology, lines) and good
+        print(f"expected outcomes: {failed or 'all met'}")
+        passed = run_faults(name, topology, lines) and passed
         write_report(FOLDER, name, results)
-    return good
+    return passed
 
 
 def run_faults(name: str, topology: Topology, lines: list[TraceLine]) -> bool:
-    """Replay the trace with faults at the peak; return whether nothing was doubled or wrong."""
+    """Replay the trace with faults at the peak; return whether no call ran twice and all answers
+    were correct."""
     tokens = TEMPLATE_TOKENS[name]
-    faulty = with_faults(lines)
+    lines_with_faults = with_faults(lines)
     variant = msgspec.structs.replace(PRODUCT, name="ruddersaddle, faults")
-    replayed, figures = run_variant(topology, faulty, tokens, variant)
-    answered = replayed.outcome("answered_prompts") / len(replayed.prompts)
-    served = replayed.outcome("answered_calls") / len(replayed.calls)
+    replay_result, figures = run_variant(topology, lines_with_faults, tokens, variant)
+    answered = replay_result.outcome("answered_prompts") / len(replay_result.prompts)
+    served = replay_result.outcome("answered_calls") / len(replay_result.calls)
     print(format_row(figures))
     print(f"  served under faults: prompts {answered:.3f}, calls {served:.3f}")
     return figures.wrong == 0 and figures.doubled == 0
 
 
 def format_row(f: Figures) -> str:
-    """Return a variant's figures as one line."""
+    """Return the figures of a variant as one line."""
     return (
         f"  {f.name:20s} first ms p50 {f.p50_ms:6.0f} p95 {f.p95_ms:6.0f} p99 {f.p99_ms:6.0f}"
         f" peak p95 {f.peak_p95_ms:6.0f} quiet p95 {f.quiet_p95_ms:6.0f} gap {f.gap_p95_ms:4.0f}"
@@ -171,8 +174,8 @@
     )
 
 
-def print_ratios(results: list[tuple[Replayed, Figures]]) -> None:
-    """Print the product's figures as ratios to each baseline, and to the best one."""
+def print_ratios(results: list[tuple[ReplayResult, Figures]]) -> None:
+    """Print the product's figures as ratios to each baseline's, and the best baselines."""
     product = results[-1][1]
     baselines = [figures for _, figures in results[:-1]]
     for each in baselines:
--- a/libs/standins/ruddersaddle_standins/capacities.py
+++ b/libs/standins/ruddersaddle_standins/capacities.py
@@ -1,4 +1,4 @@
-"""Measures the slopes that docs/CAPACITY.md stands on, and rewrites the page's table of slopes."""
+"""Measures how resource usage grows, and rewrites the table of slopes in docs/CAPACITY.md."""
 
 import os
 import platform
@@ -43,7 +43,7 @@
 from ruddersaddle_standins.fleets import Fleet, Topology
 from ruddersaddle_standins.processes import wait_until
 from ruddersaddle_standins.relays import run_relays
-from ruddersaddle_standins.replays import read_use
+from ruddersaddle_standins.replays import read_usage
 
 PAGE = Path("docs/CAPACITY.md")
 BEGIN = "<!-- slopes: written by make capacity -->"
@@ -58,14 +58,14 @@
 HISTOGRAM_COUNTS = (8, 16, 32)
 CALLS = 200
 CALLERS = 20
-DOWN_S = 1.5
-"""After this long of failing appends hosts take the log to be out, in seconds."""
+OUTAGE_DETECTION_S = 1.5
+"""Hosts consider the log to be down after appends have failed for this long, in seconds."""
 KILOBYTE = 1e3
 MEGABYTE = 1e6
 
 
 class Slope(msgspec.Struct):
-    """One measured slope: what grows with what, its points, the slope and what is left at zero."""
+    """One measured quantity, what it grows with, and the measured points."""
 
     name: str
     grows_with: str
@@ -74,13 +74,13 @@
 
     @property
     def fit(self) -> tuple[float, float]:
-        """Return slope and intercept of the least squares line."""
+        """Return slope and intercept of the least-squares line."""
         xs, ys = zip(*self.points, strict=True)
         slope, intercept = np.polyfit(xs, ys, 1)
         return float(slope), float(intercept)
 
     def row(self) -> str:
-        """Return the slope as a row of the page's table."""
+        """Return the slope as a row of the table."""
         slope, intercept = self.fit
         points = ", ".join(f"{x:g}: {y:.4g}" for x, y in self.points)
         return (
@@ -90,19 +90,19 @@
 
 
 def measure_memory(name: str, grows_with: str, counts: tuple[int, ...], make: Callable) -> Slope:
-    """Return the bytes that `make(count)` leaves, for growing counts."""
+    """Return the bytes that the result of `make(count)` occupies, for growing counts."""
     points = []
     for count in counts:
         tracemalloc.start()
-        kept = make(count)
+        result = make(count)
         points.append((count, float(tracemalloc.get_traced_memory()[0])))
         tracemalloc.stop()
-        del kept
+        del result
     return Slope(name, grows_with, "bytes", points)
 
 
 def measure_time(name: str, grows_with: str, counts: tuple[int, ...], make: Callable) -> Slope:
-    """Return the processor microseconds that `make(count)` takes, for growing counts."""
+    """Return the processor time of `make(count)` in microseconds, for growing counts."""
     points = []
     for count in counts:
         began = time.process_time()
@@ -112,7 +112,7 @@
 
 
 def fold_claims(count: int) -> Claims:
-    """Return a fold with so many keys."""
+    """Return the state of claims with this many keys."""
     claims = Claims(1e9, 30.0)
     for number in range(count):
         key = CallKey(f"clinic-{number % 100}/{new_key()}")
@@ -124,7 +124,7 @@
 
 
 def fold_workspaces(count: int) -> Configuration:
-    """Return a configuration of so many workspaces, each from a change of its own."""
+    """Return a configuration of this many workspaces, each added by a separate change."""
     configuration = Configuration()
     configuration.begin(Position(0), False)
     for number in range(count):
@@ -145,7 +145,7 @@
 
 
 def cache_blocks(count: int) -> Load:
-    """Return a load that knows so many cached blocks."""
+    """Return the load of an engine with this many cached blocks."""
     load = new_load("engine")
     for number in range(count):
         load.apply_event(True, BlockKey(f"{number:032x}"))
@@ -153,13 +153,13 @@
 
 
 def new_load(name: str) -> Load:
-    """Return a load as hosts make it."""
+    """Return a load with the limits that hosts use."""
     limit, circuit = AdaptiveLimit(8, 64), Circuit(3, 2.0)
     return Load(UpstreamId(name), name, HallId("glerar"), limit, circuit)
 
 
 def make_histograms(count: int) -> Histograms:
-    """Return histograms with so many labels of one measure."""
+    """Return histograms with this many labels of one measure."""
     histograms = Histograms()
     for number in range(count):
         histograms.record(Measure.WHOLE, f"workspace-{number}", "normal", 10.0)
@@ -167,7 +167,7 @@
 
 
 def choose(count: int) -> None:
-    """Make 100 choices among so many engines."""
+    """Make 100 choices among this many engines."""
     loads = [new_load(f"10.0.{number // 250}.{number % 250}:80") for number in range(count)]
     keys = block_keys("salt", "text " * 2000)
     prompt = Prompt(2500, (), lambda _version: keys)
@@ -177,22 +177,22 @@
 
 
 def rank(count: int) -> None:
-    """Rank so many names 100 times."""
+    """Rank this many names 100 times."""
     names = [f"store-{number}" for number in range(count)]
     for number in range(100):
         rank_names(str(number), names)
 
 
 def measure_idle() -> list[Slope]:
-    """Return what an idle host takes, by the number of hosts."""
+    """Return processor and memory usage of an idle host, by the number of hosts."""
     shares, memories = [], []
     for count in HOST_COUNTS:
         with Fleet(Topology(hosts=count, engines=2, stores=1)) as fleet:
             time.sleep(1.0)
             pids = [fleet.by_name[name].child.pid for name in fleet.host_names()]
-            before = [read_use(pid) for pid in pids]
+            before = [read_usage(pid) for pid in pids]
             time.sleep(IDLE_S)
-            after = [read_use(pid) for pid in pids]
+            after = [read_usage(pid) for pid in pids]
         spent = [late.cpu_s - early.cpu_s for early, late in zip(before, after, strict=True)]
         shares.append((count, 100.0 * float(np.mean(spent)) / IDLE_S))
         memories.append((count, max(use.resident_bytes for use in after) / MEGABYTE))
@@ -203,21 +203,21 @@
 
 
 def measure_control_bytes() -> Slope:
-    """Return the control bytes of one idle host, by the number of engines that it follows."""
+    """Return the control traffic of an idle host, by the number of engines that it follows."""
     points = []
     for count in ENGINE_COUNTS:
         with Fleet(Topology(hosts=1, engines=count, stores=0)) as fleet:
             proxies = [
                 CountingProxy(fleet.address_by_name[f"engine-{n + 1}"]) for n in range(count)
             ]
-            platform_ends = [CountingProxy(fleet.address_by_name[n]) for n in ("log", "list")]
+            platform_proxies = [CountingProxy(fleet.address_by_name[n]) for n in ("log", "list")]
             for number, proxy in enumerate(proxies, 1):
                 fleet.address_by_name[f"engine-{number}"] = proxy.address
                 row = fleet.row_by_name[f"engine-{number}"]
                 changed = msgspec.structs.replace(row, address=proxy.address)
                 fleet.row_by_name[f"engine-{number}"] = changed
             fleet.publish(*fleet.base_values())
-            log, listing = (proxy.address for proxy in platform_ends)
+            log, listing = (proxy.address for proxy in platform_proxies)
             fleet.by_name["host-1"].kill()
             fleet.add_host(
                 "host-1", platform__log=log, platform__host_list=listing, platform__poll_s="1.0"
@@ -225,7 +225,7 @@
             fleet.publish_list()
             fleet.wait_host("host-1")
             time.sleep(1.0)
-            ends = proxies + platform_ends
+            ends = proxies + platform_proxies
             before = sum(end.bytes for end in ends)
             time.sleep(IDLE_S)
             rate = (sum(end.bytes for end in ends) - before) / IDLE_S
@@ -235,8 +235,8 @@
     return Slope("control traffic of an idle host", "engines followed", "KB/s", points)
 
 
-class CallWay(msgspec.Struct, frozen=True):
-    """One way to make calls: by path, by key or by ticket, from how many callers."""
+class CallMethod(msgspec.Struct, frozen=True):
+    """One method of making calls: by path, key or ticket, and the number of callers."""
 
     name: str
     kind: str
@@ -244,19 +244,19 @@
     gathers: bool = True
 
 
-WAYS = (
-    CallWay("may be repeated (nothing agreed)", "repeatable", CALLERS),
-    CallWay("ticket", "ticket", CALLERS),
-    CallWay("key, one caller", "key", 1),
-    CallWay("key, 20 callers", "key", CALLERS),
-    CallWay("key, 20 callers, an append for each", "key", CALLERS, gathers=False),
+CALL_METHODS = (
+    CallMethod("may be repeated (nothing agreed)", "repeatable", CALLERS),
+    CallMethod("ticket", "ticket", CALLERS),
+    CallMethod("key, one caller", "key", 1),
+    CallMethod("key, 20 callers", "key", CALLERS),
+    CallMethod("key, 20 callers, an append for each", "key", CALLERS, gathers=False),
 )
 
 
 class CallCost(msgspec.Struct):
-    """What calls cost one way: appends a call, milliseconds, and the share served in an outage."""
+    """Cost of one method: appends per call, milliseconds, and the share served in an outage."""
 
-    way: str
+    method: str
     appends_per_call: float
     p50_ms: float
     p99_ms: float
@@ -264,28 +264,28 @@
     outage_share: float
 
     def row(self) -> str:
-        """Return the cost as a row of the page's table."""
+        """Return the cost as a row of the table."""
         return (
-            f"| {self.way} | {self.appends_per_call:.2f} | {self.p50_ms:.1f} "
+            f"| {self.method} | {self.appends_per_call:.2f} | {self.p50_ms:.1f} "
             f"| {self.p99_ms:.1f} | {self.calls_s:.0f} | {self.outage_share:.2f} |"
         )
 
 
 class CallMeasure:
-    """Makes calls one way on a fleet of its own."""
+    """Makes calls by one method on one fleet."""
 
-    def __init__(self, way: CallWay, fleet: Fleet) -> None:
-        self.way = way
+    def __init__(self, method: CallMethod, fleet: Fleet) -> None:
+        self.method = method
         self.fleet = fleet
         self.addresses = [fleet.address_by_name[name] for name in fleet.host_names()]
-        self.clients = [Client("clinic-1") for _ in range(way.callers)]
+        self.clients = [Client("clinic-1") for _ in range(method.callers)]
 
     def call(self, number: int) -> CallResult:
         """Make one call."""
         client = self.clients[number % len(self.clients)]
         address = self.addresses[number % len(self.addresses)]
-        body = f"{self.way.name} {number}"
-        match self.way.kind:
+        body = f"{self.method.name} {number}"
+        match self.method.kind:
             case "repeatable":
                 return client.call(address, "/booking/read", body)
             case "ticket":
@@ -293,41 +293,41 @@
         return client.call(address, "/booking/slot", body, new_key())
 
     def run(self) -> CallCost:
-        """Make the calls, and then some in an outage of the log."""
+        """Make the calls, and then more in an outage of the log."""
         before = self.fleet.fetch("log", "/appends", int)
         began = time.monotonic()
-        with ThreadPoolExecutor(self.way.callers) as pool:
+        with ThreadPoolExecutor(self.method.callers) as pool:
             times = np.array([result.total_ms for result in pool.map(self.call, range(CALLS))])
             seconds = time.monotonic() - began
             appends = self.fleet.fetch("log", "/appends", int) - before
             self.fleet.inject_fault("log", "refuse")
-            list(pool.map(self.call, range(CALLS, CALLS + self.way.callers)))
-            time.sleep(DOWN_S)
+            list(pool.map(self.call, range(CALLS, CALLS + self.method.callers)))
+            time.sleep(OUTAGE_DETECTION_S)
             outage = list(pool.map(self.call, range(CALLS * 2, CALLS * 3)))
         served = sum(result.status == OK for result in outage) / CALLS
         p50, p99 = np.percentile(times, (50, 99))
-        return CallCost(self.way.name, appends / CALLS, p50, p99, CALLS / seconds, served)
+        return CallCost(self.method.name, appends / CALLS, p50, p99, CALLS / seconds, served)
 
 
 def measure_calls() -> list[CallCost]:
-    """Return the cost of each way to make calls."""
+    """Return the cost of each method of making calls."""
     costs = []
-    for way in WAYS:
+    for method in CALL_METHODS:
         topology = Topology(
             hosts=3,
             engines=1,
             stores=0,
             services=2,
             speeds={"service_s": "0.001"},
-            settings={"claims.gather": "yes" if way.gathers else "no"},
+            settings={"claims.gather": "yes" if method.gathers else "no"},
         )
         with Fleet(topology) as fleet:
-            costs.append(CallMeasure(way, fleet).run())
+            costs.append(CallMeasure(method, fleet).run())
     return costs
 
 
-def measure_in_force() -> tuple[float, int]:
-    """Return the seconds until a change is in force on 12 hosts, and how many there were."""
+def measure_propagation() -> tuple[float, int]:
+    """Return the longest time until a change is in force on all hosts, and the number of hosts."""
     with Fleet(Topology(hosts=12, engines=1, stores=0)) as fleet:
         seconds = []
         for number in range(5):
@@ -335,17 +335,17 @@
             began = time.monotonic()
             published = fleet.publish(value)
             for name in fleet.host_names():
-                wait_until(lambda n=name, p=published: _has(fleet, n, p.offset), "in force")
+                wait_until(lambda n=name, p=published: _has_applied(fleet, n, p.offset), "in force")
             seconds.append(time.monotonic() - began)
         return max(seconds), len(fleet.host_names())
 
 
-def _has(fleet: Fleet, name: str, offset: int) -> bool:
+def _has_applied(fleet: Fleet, name: str, offset: int) -> bool:
     return fleet.status(name).configuration_position >= offset
 
 
 def measure_slopes() -> list[Slope]:
-    """Return every slope."""
+    """Return all slopes."""
     return [
         measure_memory("remembered keys", "keys", KEY_COUNTS, fold_claims),
         measure_time("folding claims", "claims", KEY_COUNTS, fold_claims),
@@ -362,13 +362,13 @@
 
 
 def run_capacity() -> None:
-    """Measure everything and rewrite the table in the page."""
+    """Measure everything and rewrite the table on the page."""
     slopes = measure_slopes()
     lines = ["| what | grows with | slope | at zero | unit | points |"]
     lines.append("| --- | --- | --- | --- | --- | --- |")
     lines += [slope.row() for slope in slopes]
-    heads = "| way of a call | appends a call | p50 ms | p99 ms | calls/s | served in an outage |"
-    lines += ["", heads, "| --- | --- | --- | --- | --- | --- |"]
+    header = "| way of a call | appends a call | p50 ms | p99 ms | calls/s | served in an outage |"
+    lines += ["", header, "| --- | --- | --- | --- | --- | --- |"]
     lines += [cost.row() for cost in measure_calls()]
     lines += ["", "| gathering | microseconds a token | tokens/s | longest gap p95 ms |"]
     lines.append("| --- | --- | --- | --- |")
@@ -377,7 +377,7 @@
             f"| {relay.gather_ms} ms | {relay.microseconds_per_token:.0f} "
             f"| {relay.tokens_per_s:.0f} | {relay.longest_gap_p95_ms:.0f} |"
         )
-    seconds, hosts = measure_in_force()
+    seconds, hosts = measure_propagation()
     lines += [
         "",
         f"A change was in force on {hosts} of {hosts} hosts after {seconds:.2f} s at most",
@@ -388,7 +388,7 @@
 
 
 def write_page(table: str) -> None:
-    """Put the table into the page, and print it."""
+    """Print the table and write it into the page."""
     print(table)
     text = PAGE.read_text() if PAGE.exists() else f"{BEGIN}\n{END}\n"
     before, _, rest = text.partition(BEGIN)
@@ -397,12 +397,12 @@
 
 
 def describe_machine() -> str:
-    """Return the kind of machine."""
+    """Describe this machine."""
     return f"{os.cpu_count()} cores, {platform.machine()}, Python {platform.python_version()}"
 
 
 def describe_version() -> str:
-    """Return the code's version."""
+    """Return the version of the code."""
     command = ["git", "describe", "--always", "--dirty"]
     done = subprocess.run(command, capture_output=True, text=True, check=False)
     return done.stdout.strip() or "unknown"
--- a/libs/standins/ruddersaddle_standins/relays.py
+++ b/libs/standins/ruddersaddle_standins/relays.py
@@ -1,4 +1,4 @@
-"""Cost of one relayed token on one host, with and without gathering, side by side in one run."""
+"""Cost of relaying one token on one host, with and without gathering, compared within one run."""
 
 import time
 from concurrent.futures import ThreadPoolExecutor
@@ -7,15 +7,15 @@
 
 from ruddersaddle_standins.clients import Client
 from ruddersaddle_standins.fleets import Fleet, Topology
-from ruddersaddle_standins.replays import read_use
+from ruddersaddle_standins.replays import read_usage
 
 STREAMS = 60
 TOKENS = 150
-GATHERS_MS = ("0", "25", "40", "50")
+GATHER_OPTIONS_MS = ("0", "25", "40", "50")
 
 
 class RelayCost(msgspec.Struct):
-    """What relaying cost one host with one setting of gathering."""
+    """Cost of relaying on one host with one setting of `requests.gather_ms`."""
 
     gather_ms: str
     microseconds_per_token: float
@@ -26,7 +26,7 @@
 
 
 def measure_relay(gather_ms: str) -> RelayCost:
-    """Run streams through one host and return its cost for each token."""
+    """Run streams through one host and return the cost per token."""
     settings = {"requests.gather_ms": gather_ms, "routing.limit_start": "64"}
     speeds = {"prefill_tokens_s": "1e6"}
     topology = Topology(hosts=1, engines=3, stores=0, settings=settings, speeds=speeds)
@@ -35,11 +35,11 @@
         pid = fleet.by_name["host-1"].child.pid
         client = Client("clinic-1")
         client.prompt(address, "warm", 2)
-        before, began = read_use(pid), time.monotonic()
+        before, began = read_usage(pid), time.monotonic()
         with ThreadPoolExecutor(STREAMS) as pool:
             results = list(pool.map(lambda n: send(address, n), range(STREAMS)))
         seconds = time.monotonic() - began
-        spent = read_use(pid).cpu_s - before.cpu_s
+        spent = read_usage(pid).cpu_s - before.cpu_s
     tokens = sum(result.tokens for result in results)
     gaps = sorted(result.longest_gap_ms for result in results)
     firsts = sorted(result.first_ms for result in results)
@@ -59,8 +59,8 @@
 
 
 def run_relays() -> list[RelayCost]:
-    """Measure every setting in turn and print the ratios."""
-    costs = [measure_relay(gather) for gather in GATHERS_MS]
+    """Measure every setting in turn and print the ratios to the first one."""
+    costs = [measure_relay(gather) for gather in GATHER_OPTIONS_MS]
     for cost in costs:
         ratio = cost.microseconds_per_token / costs[0].microseconds_per_token
         print(
--- a/libs/standins/ruddersaddle_standins/replays.py
+++ b/libs/standins/ruddersaddle_standins/replays.py
@@ -1,4 +1,4 @@
-"""Replays a trace against a fleet of real hosts and stand-ins, and measures what came of it."""
+"""Replays a trace against a fleet of real hosts and stand-ins, and measures the results."""
 
 import os
 import threading
@@ -21,7 +21,7 @@
 from ruddersaddle_standins.trace_generators import EVENT_AT_S
 
 THREADS = 256
-LEAD_S = 1.0
+START_DELAY_S = 1.0
 CLOCK_TICKS = os.sysconf("SC_CLK_TCK")
 TAIL_TOKENS = 20
 
@@ -31,7 +31,7 @@
 
     arrival: Arrival
     result: PromptResult
-    right: bool
+    correct: bool
 
 
 class CallRow(msgspec.Struct):
@@ -41,19 +41,19 @@
     result: CallResult
 
 
-class HostUse(msgspec.Struct):
-    """What one host's process took: seconds of processor time, and resident bytes."""
+class HostUsage(msgspec.Struct):
+    """Resource usage of one host process: processor time in seconds, and resident bytes."""
 
     cpu_s: float
     resident_bytes: int
 
 
-class Replayed(msgspec.Struct):
-    """All that a replay gave."""
+class ReplayResult(msgspec.Struct):
+    """Results of a replay."""
 
     prompts: list[PromptRow]
     calls: list[CallRow]
-    uses: list[HostUse]
+    usages: list[HostUsage]
     link_bytes: int
     computed_tokens: int
     new_tokens: int
@@ -63,7 +63,7 @@
     seconds: float
 
     def first_ms(self, workspaces: set[str] | None = None, after_s: float = 0.0) -> np.ndarray:
-        """Return first-token times of answered prompts, in milliseconds."""
+        """Return the times to first token of answered prompts, in milliseconds."""
         rows = [row for row in self.prompts if row.result.complete and row.arrival.at >= after_s]
         chosen = [r for r in rows if workspaces is None or r.arrival.workspace in workspaces]
         return np.array([row.result.first_ms for row in chosen] or [np.nan])
@@ -75,25 +75,25 @@
 
     @property
     def recomputed_share(self) -> float:
-        """The share of tokens that had been computed before and were computed again."""
+        """Share of the previously computed tokens that were computed again."""
         seen_before = self.prompt_tokens - self.new_tokens
         return max(0, self.computed_tokens - self.new_tokens) / max(1, seen_before)
 
     @property
     def refused(self) -> int:
-        """Prompts that were refused."""
+        """Number of prompts that were refused."""
         return sum(row.result.status != 200 for row in self.prompts)
 
     @property
     def cut(self) -> int:
-        """Streams that began and did not end whole."""
+        """Number of streams that began and ended incomplete."""
         return sum(row.result.status == 200 and not row.result.complete for row in self.prompts)
 
     def outcome(self, name: str) -> float:
-        """Return the count that a stated outcome names."""
+        """Return the count that an expected outcome refers to."""
         match name:
             case "wrong_answers":
-                return sum(row.result.complete and not row.right for row in self.prompts)
+                return sum(row.result.complete and not row.correct for row in self.prompts)
             case "cut_streams":
                 return self.cut
             case "doubled_calls":
@@ -102,23 +102,25 @@
                 return sum(row.result.complete for row in self.prompts)
             case "answered_calls":
                 return sum(row.result.status == 200 for row in self.calls)
-        raise ValueError(f"no outcome {name}")
+        raise ValueError(f"unknown outcome {name}")
 
-    def broken(self, lines: list[TraceLine]) -> list[str]:
-        """Return a sentence for each stated outcome that does not hold."""
+    def failed_outcomes(self, lines: list[TraceLine]) -> list[str]:
+        """Return a message for each expected outcome that is not met."""
         found = []
         for line in lines:
             if isinstance(line, Stated):
                 value = self.outcome(line.name)
                 if not line.lowest <= value <= line.highest:
-                    found.append(f"{line.name}: {value:g}, stated {line.lowest} to {line.highest}")
+                    found.append(
+                        f"{line.name}: {value:g}, expected {line.lowest} to {line.highest}"
+                    )
         return found
 
 
 def template_values(
     workspaces: tuple[str, ...], tokens: int, event_at: float | None, copies: int = 1
 ) -> list[Value]:
-    """Return a template for each workspace, and its marked event if there is one."""
+    """Return a template for each workspace, and an event for it if `event_at` is given."""
     values: list[Value] = []
     for workspace in workspaces:
         text = fill_text(f"template of {workspace}", tokens) + "for $caller: "
@@ -140,33 +142,33 @@
         self.clients = {name: Client(name) for name in fleet.topology.workspaces}
         self._lock = threading.Lock()
 
-    def run(self, marks_events: bool) -> Replayed:
-        """Publish the templates, replay every line at its time, and measure."""
+    def run(self, marks_events: bool) -> ReplayResult:
+        """Publish the templates, replay every line at its time, and return the results."""
         workspaces = self.fleet.topology.workspaces
-        event_at = time.time() + LEAD_S + EVENT_AT_S if marks_events else None
+        event_at = time.time() + START_DELAY_S + EVENT_AT_S if marks_events else None
         values = template_values(workspaces, self.template_tokens, event_at)
         self.fleet.publish(*values)
         hosts = self.fleet.host_names()
-        before = [self._use(name) for name in hosts]
-        began = time.monotonic() + LEAD_S
+        before = [self._usage(name) for name in hosts]
+        began = time.monotonic() + START_DELAY_S
         with ThreadPoolExecutor(THREADS) as pool:
             for number, line in enumerate(self.lines):
                 if isinstance(line, Stated):
                     continue
                 time.sleep(max(0.0, began + line.at - time.monotonic()))
-                pool.submit(self._play, number, line, hosts[number % len(hosts)])
-        after = [self._use(name) for name in hosts]
+                pool.submit(self._replay_line, number, line, hosts[number % len(hosts)])
+        after = [self._usage(name) for name in hosts]
         return self._measure(before, after, time.monotonic() - began)
 
-    def _play(self, number: int, line: Arrival | Fault, host: str) -> None:
+    def _replay_line(self, number: int, line: Arrival | Fault, host: str) -> None:
         if isinstance(line, Fault):
-            self._bring_about(line)
+            self._inject_fault(line)
         elif line.path == COMPLETIONS:
             self._send_prompt(number, line, host)
         else:
             self._send_call(number, line, host)
 
-    def _bring_about(self, fault: Fault) -> None:
+    def _inject_fault(self, fault: Fault) -> None:
         if fault.kind == "kill":
             self.fleet.by_name[fault.target].kill()
         else:
@@ -174,10 +176,10 @@
 
     def _send_prompt(self, number: int, line: Arrival, host: str) -> None:
         tail = f"question {number} " + fill_text(f"tail {number}", TAIL_TOKENS)
-        more: dict[str, object] = {"priority_class": line.group}
+        options: dict[str, object] = {"priority_class": line.group}
         if line.context.startswith(TEMPLATE_PREFIX):
             template = line.context.removeprefix(TEMPLATE_PREFIX)
-            more |= {"template": template, "parameters": {"caller": f"caller {number}"}}
+            options |= {"template": template, "parameters": {"caller": f"caller {number}"}}
             prefix = fill_text(f"template of {template}", self.template_tokens)
             text = f"{prefix}for caller {number}: {tail}"
             sent = tail
@@ -185,10 +187,10 @@
             text = sent = fill_text(line.context, line.prompt_tokens) + tail
         address = self.fleet.address_by_name[host]
         client = self.clients[line.workspace]
-        result = client.prompt(address, sent, line.answer_tokens, **more)
-        right = result.text == answer_text(text, VERSION, line.answer_tokens)
+        result = client.prompt(address, sent, line.answer_tokens, **options)
+        correct = result.text == answer_text(text, VERSION, line.answer_tokens)
         with self._lock:
-            self.prompts.append(PromptRow(line, result, right))
+            self.prompts.append(PromptRow(line, result, correct))
 
     def _send_call(self, number: int, line: Arrival, host: str) -> None:
         address = self.fleet.address_by_name[host]
@@ -199,17 +201,19 @@
             self.calls.append(CallRow(line, result))
 
     def _count_new(self) -> int:
-        """Return the tokens that no prompt of the trace had before: contexts once, and tails."""
+        """Return the number of distinct tokens in the trace: each context once, and all tails."""
         arrivals = [row.arrival for row in self.prompts]
         tokens = {a.context: a.prompt_tokens or self.template_tokens for a in arrivals}
         return sum(tokens.values()) + TAIL_TOKENS * len(arrivals)
 
-    def _use(self, name: str) -> HostUse:
-        return read_use(self.fleet.by_name[name].child.pid)
+    def _usage(self, name: str) -> HostUsage:
+        return read_usage(self.fleet.by_name[name].child.pid)
 
-    def _measure(self, before: list[HostUse], after: list[HostUse], seconds: float) -> Replayed:
-        uses = [
-            HostUse(late.cpu_s - early.cpu_s, late.resident_bytes)
+    def _measure(
+        self, before: list[HostUsage], after: list[HostUsage], seconds: float
+    ) -> ReplayResult:
+        usages = [
+            HostUsage(late.cpu_s - early.cpu_s, late.resident_bytes)
             for early, late in zip(before, after, strict=True)
         ]
         engines = [
@@ -224,10 +228,10 @@
         ]
         computed = sum(each.prompt_tokens - each.cached_tokens for each in engines)
         bodies = [run.body for run in self.fleet.runs() if run.key]
-        return Replayed(
+        return ReplayResult(
             prompts=self.prompts,
             calls=self.calls,
-            uses=uses,
+            usages=usages,
             link_bytes=sum(each.moved_bytes for each in stores),
             computed_tokens=computed,
             new_tokens=self._count_new(),
@@ -238,17 +242,17 @@
         )
 
 
-def read_use(pid: int) -> HostUse:
-    """Return what a process has taken so far."""
+def read_usage(pid: int) -> HostUsage:
+    """Return the resource usage of a process so far."""
     with open(f"/proc/{pid}/stat", encoding="ascii") as file:
         fields = file.read().rpartition(")")[2].split()
     ticks = int(fields[11]) + int(fields[12])
     pages = int(fields[21])
-    return HostUse(ticks / CLOCK_TICKS, pages * os.sysconf("SC_PAGE_SIZE"))
+    return HostUsage(ticks / CLOCK_TICKS, pages * os.sysconf("SC_PAGE_SIZE"))
 
 
-def counts_of(fleet: Fleet) -> dict[str, int]:
-    """Return the hosts' counts, added up."""
+def sum_counts(fleet: Fleet) -> dict[str, int]:
+    """Return the sums of all hosts' counts."""
     total: dict[str, int] = {}
     for name in fleet.host_names():
         status = fleet.status(name)
--- a/libs/standins/ruddersaddle_standins/reports.py
+++ b/libs/standins/ruddersaddle_standins/reports.py
@@ -1,4 +1,4 @@
-"""The bench's report: plots and a table, as one HTML page with pictures beside it."""
+"""Report of the benchmark: an HTML page with a table, and plots in separate files."""
 
 from pathlib import Path
 
@@ -15,7 +15,7 @@
 
 
 def write_report(folder: Path, name: str, results: list) -> Path:
-    """Write plots and the table of one deployment; return the page's path."""
+    """Write the plots and the table of one deployment; return the path of the page."""
     _plot_first_tokens(folder / f"{name}-first-token.png", results)
     _plot_workspaces(folder / f"{name}-workspaces.png", results[-1][0])
     rows = [msgspec.structs.asdict(figures) for _, figures in results]
@@ -39,8 +39,8 @@
 
 def _plot_first_tokens(path: Path, results: list) -> None:
     figure, axes = plt.subplots(figsize=SIZE_INCHES)
-    for replayed, figures in results:
-        times = np.sort(replayed.first_ms())
+    for replay_result, figures in results:
+        times = np.sort(replay_result.first_ms())
         axes.plot(times, np.linspace(0, 1, len(times)), label=figures.name)
     axes.set_xscale("log")
     axes.set_xlabel("first token, ms")
@@ -50,9 +50,9 @@
     plt.close(figure)
 
 
-def _plot_workspaces(path: Path, replayed: object) -> None:
+def _plot_workspaces(path: Path, replay_result: object) -> None:
     groups: dict[tuple[str, str], list[float]] = {}
-    for row in replayed.prompts:
+    for row in replay_result.prompts:
         label = (row.arrival.workspace, row.arrival.group)
         groups.setdefault(label, []).append(row.result.first_ms)
     figure, axes = plt.subplots(figsize=SIZE_INCHES)
--- a/libs/standins/ruddersaddle_standins/tests/test_replays.py
+++ b/libs/standins/ruddersaddle_standins/tests/test_replays.py
@@ -1,4 +1,4 @@
-"""A recorded trace replayed against its stated outcomes, with faults at its peak."""
+"""A recorded trace is replayed and meets its expected outcomes, with faults at its peak."""
 
 import unittest
 from pathlib import Path
@@ -14,17 +14,17 @@
 
 
 class ReplayTest(unittest.TestCase):
-    def test_an_opening_with_an_engine_lost_and_the_log_out_ends_as_stated(self):
+    def test_opening_with_a_lost_engine_and_a_log_outage_meets_its_expected_outcomes(self):
         lines = read_trace(str(FOLDER / "opening.jsonl"))
         speeds = {"prefill_tokens_s": "6000", "cache_blocks": "60"}
         topology = Topology(hosts=3, engines=3, services=2, speeds=speeds)
         with Fleet(topology) as fleet:
-            replayed = Replay(fleet, lines, TEMPLATE_TOKENS).run(marks_events=True)
-            self.assertEqual(replayed.broken(lines), [])
+            replay_result = Replay(fleet, lines, TEMPLATE_TOKENS).run(marks_events=True)
+            self.assertEqual(replay_result.failed_outcomes(lines), [])
             statuses = [fleet.status(name) for name in fleet.host_names()]
             self.assertGreater(sum(s.counts["events_prepared"] for s in statuses), 0)
 
-    def test_a_seed_gives_the_same_trace_every_time(self):
+    def test_same_seed_gives_the_same_trace(self):
         names = ("a", "b", "c")
         for generate in (generate_akureyri, generate_casablanca):
             self.assertEqual(generate(5, names), generate(5, names))
