--- a/libs/base/ruddersaddle_base/codecs.py
+++ b/libs/base/ruddersaddle_base/codecs.py
@@ -40,7 +40,7 @@
         return Failure(Code.CORRUPT, step, peer, str(error))
 
 
-def is_whole(text: str) -> bool:
+def is_decimal_integer(text: str) -> bool:
     """Return whether text is a whole number in plain digits, which `int` takes.
 
     Of superscript digits, which fit into a header, `isdigit` says yes and `int` raises.
--- a/libs/daemon/ruddersaddle/bodies.py
+++ b/libs/daemon/ruddersaddle/bodies.py
@@ -3,7 +3,7 @@
 from typing import Any
 
 import eventlet
-from ruddersaddle_base.codecs import is_whole
+from ruddersaddle_base.codecs import is_decimal_integer
 from ruddersaddle_base.failures import Code, Failure, Step
 
 from ruddersaddle.callers import CALLER
@@ -15,7 +15,7 @@
     """Return the whole body, or a failure for one too large, too slow or cut short."""
     length = environ.get("CONTENT_LENGTH") or ""
     chunked = "chunked" in environ.get("HTTP_TRANSFER_ENCODING", "").lower()
-    if length and not is_whole(length):
+    if length and not is_decimal_integer(length):
         return Failure(Code.BAD_REQUEST, Step.PARSE, CALLER, "Content-Length: expected a number")
     if not length and not chunked:
         return b""
--- a/libs/daemon/ruddersaddle/callers.py
+++ b/libs/daemon/ruddersaddle/callers.py
@@ -9,7 +9,7 @@
 from hashlib import sha256
 
 import msgspec
-from ruddersaddle_base.codecs import decode_json, is_whole
+from ruddersaddle_base.codecs import decode_json, is_decimal_integer
 from ruddersaddle_base.failures import Code, Failure, Step
 from ruddersaddle_base.ids import RequestId
 from ruddersaddle_base.settings import suggest
@@ -117,7 +117,7 @@
     text = environ.get(DEADLINE_HEADER, "")
     if not text:
         return Limits(group, time.monotonic() + default_s)
-    if not is_whole(text) or not 0 < int(text) <= 3_600_000:
+    if not is_decimal_integer(text) or not 0 < int(text) <= 3_600_000:
         return _bad("Deadline-Ms: expected 1 to 3600000")
     return Limits(group, time.monotonic() + int(text) / MS_PER_S)
 
@@ -205,7 +205,7 @@
     text = environ.get(TOKEN_HEADER, "")
     if not text:
         return None
-    if not is_whole(text) or len(text) > 18:
+    if not is_decimal_integer(text) or len(text) > 18:
         return _bad("Retry-Token: expected the number that a not_run answer gave")
     return int(text)
 
--- a/libs/daemon/ruddersaddle/tickets.py
+++ b/libs/daemon/ruddersaddle/tickets.py
@@ -10,7 +10,7 @@
 from hashlib import sha256
 
 import msgspec
-from ruddersaddle_base.codecs import is_whole
+from ruddersaddle_base.codecs import is_decimal_integer
 from ruddersaddle_base.failures import Code, Failure, Ran, Step
 from ruddersaddle_base.ids import CallKey, Incarnation
 
@@ -92,7 +92,7 @@
 def parse_ticket(text: str) -> Ticket | Failure:
     """Return what a ticket says, unverified."""
     parts = text.split(SEPARATOR)
-    if len(parts) != PARTS or not is_whole(parts[2]):
+    if len(parts) != PARTS or not is_decimal_integer(parts[2]):
         return _bad("not a ticket")
     return Ticket(Incarnation(parts[1]), float(parts[2]), parts[3], parts[4])
 
--- a/libs/daemon/ruddersaddle/traces.py
+++ b/libs/daemon/ruddersaddle/traces.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 import msgspec
-from ruddersaddle_base.codecs import decode_json, encode_json, is_whole
+from ruddersaddle_base.codecs import decode_json, encode_json, is_decimal_integer
 from ruddersaddle_base.failures import Failure, Step
 from ruddersaddle_upstreams.chains import TOKEN_BYTES
 
@@ -106,7 +106,7 @@
             workspace=environ[WORKSPACE_NOTE],
             path=environ["PATH_INFO"],
             group=environ.get("HTTP_PRIORITY_CLASS", "normal"),
-            prompt_tokens=int(size) // TOKEN_BYTES if is_whole(size) else 0,
+            prompt_tokens=int(size) // TOKEN_BYTES if is_decimal_integer(size) else 0,
         )
         self.file.write(encode_json(arrival) + b"\n")
         self.file.flush()
--- a/libs/serving/ruddersaddle_serving/context_stores.py
+++ b/libs/serving/ruddersaddle_serving/context_stores.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 
 from ruddersaddle_base import clocks
-from ruddersaddle_base.codecs import is_whole
+from ruddersaddle_base.codecs import is_decimal_integer
 from ruddersaddle_base.failures import Failure
 from ruddersaddle_base.ids import HallId, ModelId
 
@@ -201,4 +201,4 @@
     if not salt.startswith(prefix):
         return False
     number = salt[len(prefix) :].partition("/")[0]
-    return is_whole(number) and int(number) < version
+    return is_decimal_integer(number) and int(number) < version
--- a/libs/serving/ruddersaddle_serving/routes.py
+++ b/libs/serving/ruddersaddle_serving/routes.py
@@ -4,7 +4,7 @@
 from typing import NewType
 
 import msgspec
-from ruddersaddle_base.codecs import is_whole
+from ruddersaddle_base.codecs import is_decimal_integer
 from ruddersaddle_base.ids import HallId, ModelId, PoolId, StoreId, WorkspaceId
 
 RouteName = NewType("RouteName", str)
@@ -128,7 +128,7 @@
 
     def find(self, host: str, path: str) -> Route | None:
         """Return the route of `host` with the longest matching prefix of `path`, or None."""
-        name = host.rpartition(":")[0] if is_whole(host.rpartition(":")[2]) else host
+        name = host.rpartition(":")[0] if is_decimal_integer(host.rpartition(":")[2]) else host
         for route in self._routes_by_host.get(name.lower(), ()):
             if path.startswith(route.path_prefix):
                 return route
--- a/libs/state/ruddersaddle_state/entries.py
+++ b/libs/state/ruddersaddle_state/entries.py
@@ -5,7 +5,7 @@
 from typing import NewType
 
 import msgspec
-from ruddersaddle_base.codecs import is_whole
+from ruddersaddle_base.codecs import is_decimal_integer
 from ruddersaddle_base.ids import HallId, ModelId, PoolId, StoreId, UpstreamId, WorkspaceId
 
 EntryKey = NewType("EntryKey", str)
@@ -168,5 +168,7 @@
     """Return whether `text` is an IPv4 address and a port."""
     host, colon, port = text.rpartition(":")
     parts = host.split(".")
-    is_valid_host = len(parts) == 4 and all(is_whole(part) and int(part) < 256 for part in parts)
-    return bool(colon) and is_valid_host and is_whole(port) and 0 < int(port) < 65536
+    is_valid_host = len(parts) == 4 and all(
+        is_decimal_integer(part) and int(part) < 256 for part in parts
+    )
+    return bool(colon) and is_valid_host and is_decimal_integer(port) and 0 < int(port) < 65536
--- a/libs/upstreams/ruddersaddle_upstreams/connections.py
+++ b/libs/upstreams/ruddersaddle_upstreams/connections.py
@@ -8,7 +8,7 @@
 
 import msgspec
 import urllib3
-from ruddersaddle_base.codecs import is_whole
+from ruddersaddle_base.codecs import is_decimal_integer
 from ruddersaddle_base.failures import Code, Failure, Ran, Step
 
 READ_BYTES = 65536
@@ -45,7 +45,7 @@
     @property
     def is_delimited(self) -> bool:
         """Whether the answer is framed by a length or chunks, so that truncation is detected."""
-        sized = is_whole(self.raw.headers.get("Content-Length", "").strip())
+        sized = is_decimal_integer(self.raw.headers.get("Content-Length", "").strip())
         return sized or self.raw.chunked or self.status in BODILESS_STATUSES
 
     def read_some(self) -> bytes | Failure:
