--- a/libs/base/ruddersaddle_base/settings.py
+++ b/libs/base/ruddersaddle_base/settings.py
@@ -149,7 +149,7 @@
         """Return a number, in the unit that `DEFAULTS` gives."""
         return float(self.by_name[name])
 
-    def whole(self, name: str) -> int:
+    def integer(self, name: str) -> int:
         """Return a whole number."""
         return int(self.by_name[name])
 
--- a/libs/base/ruddersaddle_base/tests/test_settings.py
+++ b/libs/base/ruddersaddle_base/tests/test_settings.py
@@ -28,7 +28,7 @@
     def test_options_go_before_the_environment_and_that_before_the_file(self):
         environment = {"RUDDERSADDLE_HOST_HALL": "oddeyri", "RUDDERSADDLE_HOST_ID": "host-2"}
         found = self.read("[host]\nid = host-1\nhall = a\nport = 9\n", environment, ["host.id=h3"])
-        values = (found.text("host.id"), found.text("host.hall"), found.whole("host.port"))
+        values = (found.text("host.id"), found.text("host.hall"), found.integer("host.port"))
         self.assertEqual(values, ("h3", "oddeyri", 9))
 
     def test_a_wrong_value_names_file_line_key_and_what_was_expected(self):
--- a/libs/daemon/ruddersaddle/contexts.py
+++ b/libs/daemon/ruddersaddle/contexts.py
@@ -52,7 +52,7 @@
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
         self.enabled = settings.flag("contexts.keep")
-        self.min_blocks = settings.whole("contexts.min_blocks")
+        self.min_blocks = settings.integer("contexts.min_blocks")
         self.store_by_id: dict[StoreId, StoreClient] = {}
         self.counts = ContextCounts()
         self._fetch_by_target: dict[tuple[str, BlockKey], Signal] = {}
--- a/libs/daemon/ruddersaddle/daemons.py
+++ b/libs/daemon/ruddersaddle/daemons.py
@@ -109,7 +109,7 @@
         settings = self.settings
         memory_s = settings.number("claims.memory_s")
         ticket_s = settings.number("claims.ticket_s")
-        bytes_max = settings.whole("claims.answers_max")
+        bytes_max = settings.integer("claims.answers_max")
         keyed = KeyedCalls(
             self.incarnation,
             self.claims_follower,
@@ -156,7 +156,7 @@
         self._start_tasks()
         signal.signal(signal.SIGTERM, lambda *_: self.stop())
         signal.signal(signal.SIGINT, lambda *_: self.stop())
-        address = (self.settings.text("host.address"), self.settings.whole("host.port"))
+        address = (self.settings.text("host.address"), self.settings.integer("host.port"))
         listener = eventlet.listen(address, backlog=BACKLOG, reuse_port=False)
         logger.info("Host %s listens on %s:%d.", self.incarnation, *address)
         server = eventlet.spawn(self._serve_wsgi, listener)
@@ -175,7 +175,7 @@
             log_output=False,
             minimum_chunk_size=1,
             socket_timeout=self.settings.number("requests.read_timeout_s"),
-            max_size=self.settings.whole("requests.concurrent_max") * 2,
+            max_size=self.settings.integer("requests.concurrent_max") * 2,
             debug=False,
         )
 
--- a/libs/daemon/ruddersaddle/gateways.py
+++ b/libs/daemon/ruddersaddle/gateways.py
@@ -127,7 +127,7 @@
     def _route_caller(
         self, environ: Environ, responder: Responder, workspace: Workspace, limits: Limits
     ) -> Iterable[bytes]:
-        if self.active > self.settings.whole("requests.concurrent_max"):
+        if self.active > self.settings.integer("requests.concurrent_max"):
             return responder.send_refusal(_overloaded())
         match environ["REQUEST_METHOD"], environ["PATH_INFO"]:
             case "GET", "/v1/models":
--- a/libs/daemon/ruddersaddle/pools.py
+++ b/libs/daemon/ruddersaddle/pools.py
@@ -103,9 +103,9 @@
 
     def _add(self, upstream: Upstream) -> None:
         settings = self.settings
-        start = settings.whole("routing.limit_start")
-        limit = AdaptiveLimit(start, settings.whole("routing.limit_max"))
-        failures = settings.whole("routing.failures_open")
+        start = settings.integer("routing.limit_start")
+        limit = AdaptiveLimit(start, settings.integer("routing.limit_max"))
+        failures = settings.integer("routing.failures_open")
         circuit = Circuit(failures, settings.number("routing.open_s"))
         load = Load(upstream.id, upstream.address, upstream.hall, limit, circuit)
         self.load_by_address[upstream.address] = load
--- a/libs/daemon/ruddersaddle/service_routes.py
+++ b/libs/daemon/ruddersaddle/service_routes.py
@@ -72,7 +72,7 @@
 
     def read_body(self, environ: Environ) -> bytes | Failure:
         """Return a request's whole body."""
-        bytes_max = self.settings.whole("requests.body_max")
+        bytes_max = self.settings.integer("requests.body_max")
         return read_body(environ, bytes_max, self.settings.number("requests.read_timeout_s"))
 
     def serve(
--- a/libs/daemon/ruddersaddle/snapshots.py
+++ b/libs/daemon/ruddersaddle/snapshots.py
@@ -28,7 +28,7 @@
     def __init__(
         self, settings: Settings, configuration: Configuration, appender: Appender
     ) -> None:
-        self.after = settings.whole("platform.snapshot_after")
+        self.after = settings.integer("platform.snapshot_after")
         self.age_s = settings.number("platform.retention_s") * RETENTION_SHARE
         self.configuration = configuration
         self.appender = appender
