--- a/libs/base/ruddersaddle_base/histograms.py
+++ b/libs/base/ruddersaddle_base/histograms.py
@@ -18,7 +18,7 @@
 
     FIRST_TOKEN = "first_token_ms"
     BETWEEN_TOKENS = "between_tokens_ms"
-    WHOLE = "whole_ms"
+    TOTAL = "whole_ms"
 
 
 class Histograms:
--- a/libs/daemon/ruddersaddle/generations.py
+++ b/libs/daemon/ruddersaddle/generations.py
@@ -349,7 +349,7 @@
         self._end_try(None)
         self.slot.release()
         if whole and choice is not None:
-            self._record(Measure.WHOLE, time.monotonic() - self._began)
+            self._record(Measure.TOTAL, time.monotonic() - self._began)
             engine = self.view.engine_by_address.get(choice.load.address)
             if engine is not None:
                 self.generator.contexts.keep_later(engine, self.request.id)
--- a/libs/serving/ruddersaddle_serving/fronts.py
+++ b/libs/serving/ruddersaddle_serving/fronts.py
@@ -392,7 +392,7 @@
             fields["first_ms"] = round(trace.first_s * 1000)
             self._record(Measure.FIRST_TOKEN, trace.first_s)
         if self.status == 200:
-            self._record(Measure.WHOLE, clocks.now_s() - self.began)
+            self._record(Measure.TOTAL, clocks.now_s() - self.began)
 
     def _record(self, measure: Measure, elapsed_s: float) -> None:
         request = self.request
--- a/libs/standins/ruddersaddle_standins/capacities.py
+++ b/libs/standins/ruddersaddle_standins/capacities.py
@@ -162,7 +162,7 @@
     """Return histograms with so many labels of one measure."""
     histograms = Histograms()
     for number in range(count):
-        histograms.record(Measure.WHOLE, f"workspace-{number}", "normal", 10.0)
+        histograms.record(Measure.TOTAL, f"workspace-{number}", "normal", 10.0)
     return histograms
 
 
