--- a/libs/base/ruddersaddle_base/tests/drawn_inputs.py
+++ b/libs/base/ruddersaddle_base/tests/property_tests.py
@@ -2,7 +2,7 @@
 
 from hypothesis import HealthCheck, settings
 
-DRAWN = settings(
+DETERMINISTIC = settings(
     derandomize=True,
     max_examples=300,
     deadline=None,
--- a/libs/base/ruddersaddle_base/tests/test_settings.py
+++ b/libs/base/ruddersaddle_base/tests/test_settings.py
@@ -12,7 +12,7 @@
     describe_settings,
     read_settings,
 )
-from ruddersaddle_base.tests.drawn_inputs import DRAWN
+from ruddersaddle_base.tests.property_tests import DETERMINISTIC
 
 
 class SettingsTest(unittest.TestCase):
@@ -64,13 +64,13 @@
         self.assertTrue(all(default.about for default in DEFAULTS))
         self.assertIn("claims.memory_s", describe_settings())
 
-    @DRAWN
+    @DETERMINISTIC
     @given(strategies.text(max_size=200))
     def test_any_text_gives_settings_or_problems(self, text):
         found = self.read(text.encode("utf-8", "replace").decode())
         self.assertIsInstance(found, Settings | list)
 
-    @DRAWN
+    @DETERMINISTIC
     @given(strategies.sampled_from(DEFAULTS), strategies.text(max_size=20))
     def test_any_value_is_taken_or_named(self, default, value):
         found = read_settings(None, {}, [f"{default.name}={value}"])
--- a/libs/daemon/ruddersaddle/tests/test_callers.py
+++ b/libs/daemon/ruddersaddle/tests/test_callers.py
@@ -7,7 +7,7 @@
 from ruddersaddle_base.codecs import decode_packed
 from ruddersaddle_base.failures import Code, Failure, Step
 from ruddersaddle_base.ids import START, RecordId, WorkspaceId
-from ruddersaddle_base.tests.drawn_inputs import DRAWN
+from ruddersaddle_base.tests.property_tests import DETERMINISTIC
 from ruddersaddle_serving.peers import Envelope
 from ruddersaddle_state.configurations import Configuration
 from ruddersaddle_state.entries import Template, Value, Workspace, entry_key
@@ -73,12 +73,12 @@
         for key in ("", "order-7", "a b", "x" * 201, str(uuid.uuid4())):
             self.assertIs(read_key({"HTTP_IDEMPOTENCY_KEY": key}).code, Code.KEY_NOT_DATED)
 
-    @DRAWN
+    @DETERMINISTIC
     @given(strategies.binary(max_size=200), strategies.booleans())
     def test_any_body_gives_a_value_or_a_failure(self, data, chat):
         self.assertIsInstance(read_completion(data, chat), CompletionBody | Failure)
 
-    @DRAWN
+    @DETERMINISTIC
     @given(strategies.text(max_size=60))
     def test_any_header_gives_a_value_or_a_failure(self, text):
         self.assertIsInstance(read_limits({"HTTP_DEADLINE_MS": text}, 1.0), Limits | Failure)
@@ -91,7 +91,7 @@
         self.assertIsInstance(parse_ticket(text), Ticket | Failure)
         self.assertIsInstance(is_ticket(text), bool)
 
-    @DRAWN
+    @DETERMINISTIC
     @given(strategies.binary(max_size=200))
     def test_any_message_of_a_peer_gives_a_value_or_a_failure(self, data):
         found = decode_packed(data, Envelope, Step.PEER, "peer")
--- a/libs/serving/ruddersaddle_serving/tests/test_event_streams.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_event_streams.py
@@ -3,7 +3,7 @@
 import unittest
 
 from hypothesis import given, strategies
-from ruddersaddle_base.tests.drawn_inputs import DRAWN
+from ruddersaddle_base.tests.property_tests import DETERMINISTIC
 
 from ruddersaddle_serving.event_streams import EventSplitter
 
@@ -11,7 +11,7 @@
 
 
 class EventSplitterTest(unittest.TestCase):
-    @DRAWN
+    @DETERMINISTIC
     @given(strategies.lists(strategies.integers(0, len(STREAM)), max_size=8))
     def test_chunk_boundaries_do_not_change_the_events(self, cuts: list[int]) -> None:
         splitter = EventSplitter()
--- a/libs/serving/ruddersaddle_serving/tests/test_upstream_quotas.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_upstream_quotas.py
@@ -5,7 +5,7 @@
 
 from hypothesis import given, strategies
 from ruddersaddle_base.ids import HallId, HostId, PoolId, RequestId, UpstreamId
-from ruddersaddle_base.tests.drawn_inputs import DRAWN
+from ruddersaddle_base.tests.property_tests import DETERMINISTIC
 
 from ruddersaddle_serving.evacuations import Evacuation
 from ruddersaddle_serving.hosts import HostRecord, Hosts
@@ -48,7 +48,7 @@
 
 
 class QuotaTest(unittest.TestCase):
-    @DRAWN
+    @DETERMINISTIC
     @given(strategies.floats(0.05, 200.0), strategies.integers(1, 500))
     def test_quotas_add_up_to_at_most_the_rate(self, per_s: float, hosts: int) -> None:
         ranked = names(hosts)
