--- a/libs/daemon/ruddersaddle/daemons.py
+++ b/libs/daemon/ruddersaddle/daemons.py
@@ -122,7 +122,9 @@
         caller = ServiceCaller(settings, self.pools)
         self.services = ServiceRoutes(settings, self.pools, caller, keyed, tickets, self.hosts)
         host = settings.text("host.address")
-        self.peers = Peers(f"{host}:{settings.whole('host.peer_port')}", self._answer_peer, Message)
+        self.peers = Peers(
+            f"{host}:{settings.integer('host.peer_port')}", self._answer_peer, Message
+        )
         self.services.peers = self.peers
 
     def _build_tasks(self) -> None:
