--- a/libs/daemon/ruddersaddle/commands.py
+++ b/libs/daemon/ruddersaddle/commands.py
@@ -16,7 +16,7 @@
 
 from ruddersaddle.callers import digest_key
 from ruddersaddle.published_files import Problem, format_published, read_published
-from ruddersaddle.publishers import Published, Publisher, Word, call_operator
+from ruddersaddle.publishers import Published, Publisher, PublishOutcome, call_operator
 from ruddersaddle.replays import TraceReplay, read_caller_keys
 from ruddersaddle.reports import Accepted, Stats, Status
 from ruddersaddle.traces import Arrival, Fault, Stated, TraceLine, read_trace
@@ -30,9 +30,9 @@
 EXIT_UNKNOWN = 4
 EXIT_UNREACHABLE = 5
 EXIT_BY_WORD = {
-    Word.ACCEPTED: EXIT_GOOD,
-    Word.REJECTED: EXIT_REJECTED,
-    Word.UNKNOWN: EXIT_UNKNOWN,
+    PublishOutcome.ACCEPTED: EXIT_GOOD,
+    PublishOutcome.REJECTED: EXIT_REJECTED,
+    PublishOutcome.UNKNOWN: EXIT_UNKNOWN,
 }
 WAIT_S = 5.0
 """Longest wait for a change's fate, in seconds."""
@@ -117,7 +117,7 @@
         _print(json, Accepted("unchanged"), "unchanged: everything is in force already")
         return
     published = publisher.publish(author, edits, WAIT_S)
-    if published.word is Word.ACCEPTED:
+    if published.word is PublishOutcome.ACCEPTED:
         published = publisher.await_in_force(published)
         _warn_references(publisher)
     _print(json, published, describe_published(published))
@@ -289,7 +289,7 @@
 
 def describe_published(published: Published) -> str:
     """Return how a change ended, as one sentence."""
-    if published.word is not Word.ACCEPTED:
+    if published.word is not PublishOutcome.ACCEPTED:
         return f"{published.word.value}: change {published.change}. {published.reason}"
     where = f"{published.hosts_in_force} of {published.hosts_listed} hosts"
     return (
--- a/libs/daemon/ruddersaddle/publishers.py
+++ b/libs/daemon/ruddersaddle/publishers.py
@@ -26,7 +26,7 @@
 """Longest wait for a change to be in force everywhere, in seconds."""
 
 
-class Word(Enum):
+class PublishOutcome(Enum):
     """How a change ended."""
 
     ACCEPTED = "accepted"
@@ -37,7 +37,7 @@
 class Published(msgspec.Struct):
     """What the operator is told of a change."""
 
-    word: Word
+    word: PublishOutcome
     change: RecordId
     offset: Position | None
     reason: str
@@ -76,13 +76,13 @@
         reply = self.client.append(Stream.CONFIGURATION, Batch((change,)))
         if isinstance(reply, Failure) and reply.ran is Ran.NOT_RUN:
             reason = f"the log was not reached: {reply.detail}"
-            return Published(Word.REJECTED, change.id, None, reason)
+            return Published(PublishOutcome.REJECTED, change.id, None, reason)
         fate = self._find_fate(change.id, time.monotonic() + wait_s)
         if fate is None:
             reason = f"not read back in {wait_s:g} s; see `config show --change {change.id}`"
-            return Published(Word.UNKNOWN, change.id, None, reason)
+            return Published(PublishOutcome.UNKNOWN, change.id, None, reason)
         accepted = fate.outcome is Outcome.ACCEPTED
-        word = Word.ACCEPTED if accepted else Word.REJECTED
+        word = PublishOutcome.ACCEPTED if accepted else PublishOutcome.REJECTED
         return Published(word, change.id, fate.position, fate.reason)
 
     def _find_fate(self, change: RecordId, deadline: float) -> RecordResult | None:
--- a/libs/standins/ruddersaddle_standins/fleets.py
+++ b/libs/standins/ruddersaddle_standins/fleets.py
@@ -7,7 +7,7 @@
 import urllib3
 from ruddersaddle.callers import digest_key
 from ruddersaddle.published_files import Wanted
-from ruddersaddle.publishers import Published, Publisher, Word
+from ruddersaddle.publishers import Published, Publisher, PublishOutcome
 from ruddersaddle.reports import Status
 from ruddersaddle_base.failures import Failure
 from ruddersaddle_base.ids import HallId, HostId, StoreId, UpstreamId, WorkspaceId
@@ -201,7 +201,7 @@
         wanted = [Wanted(entry_key(value), value) for value in values]
         edits = self.publisher.edits_for(wanted)
         published = self.publisher.publish("fleet", edits, PUBLISH_S)
-        if published.word is not Word.ACCEPTED:
+        if published.word is not PublishOutcome.ACCEPTED:
             raise RuntimeError(f"publishing ended {published.word.value}: {published.reason}")
         return published
 
--- a/libs/standins/ruddersaddle_standins/tests/test_configuration_force.py
+++ b/libs/standins/ruddersaddle_standins/tests/test_configuration_force.py
@@ -9,7 +9,7 @@
 from concurrent.futures import ThreadPoolExecutor
 
 import msgspec
-from ruddersaddle.publishers import Publisher, Word
+from ruddersaddle.publishers import Publisher, PublishOutcome
 from ruddersaddle_base.failures import Failure
 from ruddersaddle_base.ids import WorkspaceId
 from ruddersaddle_state.entries import EntryKey, Workspace
@@ -75,11 +75,11 @@
         with ThreadPoolExecutor(6) as pool:
             results = list(pool.map(publish, range(6)))
         words = [result.word for result in results]
-        self.assertEqual(words.count(Word.ACCEPTED), 1)
-        self.assertEqual(words.count(Word.REJECTED), 5)
-        winner = words.index(Word.ACCEPTED)
+        self.assertEqual(words.count(PublishOutcome.ACCEPTED), 1)
+        self.assertEqual(words.count(PublishOutcome.REJECTED), 5)
+        winner = words.index(PublishOutcome.ACCEPTED)
         self.assertEqual(self.weight(), 10 + winner)
-        losers = [result for result in results if result.word is Word.REJECTED]
+        losers = [result for result in results if result.word is PublishOutcome.REJECTED]
         self.assertTrue(all(results[winner].change in result.reason for result in losers))
         self.await_alike()
 
@@ -87,14 +87,14 @@
         publisher = self.publisher()
         self.fleet.fault("log", "lose", 1)
         result = publisher.publish("op", [self.edit(publisher, 21)], 5.0)
-        self.assertEqual((result.word, self.weight()), (Word.ACCEPTED, 21))
+        self.assertEqual((result.word, self.weight()), (PublishOutcome.ACCEPTED, 21))
         self.await_alike()
 
     def test_a_late_append_ends_unknown_and_its_fate_can_be_found_out(self):
         publisher = self.publisher()
         self.fleet.fault("log", "late", 4.0, 1.0)
         result = publisher.publish("op", [self.edit(publisher, 22)], 0.5)
-        self.assertEqual(result.word, Word.UNKNOWN)
+        self.assertEqual(result.word, PublishOutcome.UNKNOWN)
         wait_until(lambda: self.weight() == 22, "the late change lands")
         self.await_alike()
 
@@ -103,7 +103,7 @@
         self.fleet.by_name["log"].freeze()
         result = publisher.publish("op", [self.edit(publisher, 23)], 0.5)
         self.fleet.by_name["log"].thaw()
-        self.assertEqual(result.word, Word.UNKNOWN)
+        self.assertEqual(result.word, PublishOutcome.UNKNOWN)
         # The bytes had left, so the log takes the append once it goes on.
         wait_until(lambda: self.weight() == 23, "the change lands")
         publisher.read()
