--- a/libs/daemon/ruddersaddle/published_files.py
+++ b/libs/daemon/ruddersaddle/published_files.py
@@ -26,14 +26,14 @@
 ARGUMENT_PREFIX = "argument."
 
 
-class Wanted(msgspec.Struct, frozen=True):
+class DesiredEntry(msgspec.Struct, frozen=True):
     """One entry as a file wants it; None deletes it."""
 
     key: EntryKey
     value: Value | None
 
 
-def read_published(path: str) -> list[Wanted] | list[Problem]:
+def read_published(path: str) -> list[DesiredEntry] | list[Problem]:
     """Return the entries that a file wants, or every problem with its place."""
     parser = configparser.ConfigParser(interpolation=None)
     try:
@@ -42,7 +42,7 @@
     except (OSError, UnicodeDecodeError, configparser.Error) as error:
         sentence = " ".join(str(error).split())
         return [Problem(path, getattr(error, "lineno", 0) or 0, "file", sentence)]
-    wanted: list[Wanted] = []
+    wanted: list[DesiredEntry] = []
     problems: list[Problem] = []
     for section in parser.sections():
         found = _read_section(path, text, section, dict(parser.items(section)))
@@ -53,13 +53,15 @@
     return problems or wanted
 
 
-def _read_section(path: str, text: str, section: str, items: dict[str, str]) -> Wanted | Problem:
+def _read_section(
+    path: str, text: str, section: str, items: dict[str, str]
+) -> DesiredEntry | Problem:
     kind, _, name = section.partition(":")
     line = _section_line(text, section)
     if kind not in TYPE_BY_KIND:
         return Problem(path, line, section, f"[kind:id]; {suggest(kind, TYPE_BY_KIND)}")
     if items.get(DELETE) == "yes":
-        return Wanted(EntryKey(f"{kind}/{name}"), None)
+        return DesiredEntry(EntryKey(f"{kind}/{name}"), None)
     value_type = TYPE_BY_KIND[kind]
     known = value_type.__struct_fields__
     for key in items:
@@ -73,7 +75,7 @@
     except (msgspec.ValidationError, ValueError) as error:
         return Problem(path, line, section, str(error))
     wrong = check_value(value)
-    return Problem(path, line, section, wrong) if wrong else Wanted(entry_key(value), value)
+    return Problem(path, line, section, wrong) if wrong else DesiredEntry(entry_key(value), value)
 
 
 def _section_line(text: str, section: str) -> int:
--- a/libs/daemon/ruddersaddle/publishers.py
+++ b/libs/daemon/ruddersaddle/publishers.py
@@ -18,7 +18,7 @@
 from ruddersaddle_upstreams.connections import OK, Connections
 from ruddersaddle_upstreams.host_lists import HostList, HostState
 
-from ruddersaddle.published_files import Wanted
+from ruddersaddle.published_files import DesiredEntry
 from ruddersaddle.reports import Status
 
 PAUSE_S = 0.1
@@ -60,7 +60,7 @@
         """Read the configuration as it stands; return whether the log answered."""
         return self.follower.read_to_end()
 
-    def edits_for(self, wanted: list[Wanted]) -> list[Edit]:
+    def edits_for(self, wanted: list[DesiredEntry]) -> list[Edit]:
         """Return the edits that make the present configuration hold what is wanted."""
         edits = []
         for each in wanted:
--- a/libs/standins/ruddersaddle_standins/fleets.py
+++ b/libs/standins/ruddersaddle_standins/fleets.py
@@ -6,7 +6,7 @@
 import msgspec
 import urllib3
 from ruddersaddle.callers import digest_key
-from ruddersaddle.published_files import Wanted
+from ruddersaddle.published_files import DesiredEntry
 from ruddersaddle.publishers import Published, Publisher, PublishOutcome
 from ruddersaddle.reports import Status
 from ruddersaddle_base.failures import Failure
@@ -198,7 +198,7 @@
     def publish(self, *values: Value) -> Published:
         """Publish values and insist on acceptance."""
         self.publisher.read()
-        wanted = [Wanted(entry_key(value), value) for value in values]
+        wanted = [DesiredEntry(entry_key(value), value) for value in values]
         edits = self.publisher.edits_for(wanted)
         published = self.publisher.publish("fleet", edits, PUBLISH_S)
         if published.word is not PublishOutcome.ACCEPTED:
