--- a/libs/daemon/ruddersaddle/commands.py
+++ b/libs/daemon/ruddersaddle/commands.py
@@ -19,7 +19,7 @@
 from ruddersaddle.publishers import Published, Publisher, PublishOutcome, call_operator
 from ruddersaddle.replays import TraceReplay, read_caller_keys
 from ruddersaddle.reports import Accepted, Stats, Status
-from ruddersaddle.traces import Arrival, Fault, Stated, TraceLine, read_trace
+from ruddersaddle.traces import Arrival, ExpectedOutcome, Fault, TraceLine, read_trace
 
 logger = logging.getLogger(__name__)
 
@@ -259,9 +259,9 @@
     counts: dict[str, int] = {}
     for arrival in arrivals:
         counts[arrival.path] = counts.get(arrival.path, 0) + 1
-    seconds = max((line.at for line in lines if not isinstance(line, Stated)), default=0.0)
+    seconds = max((line.at for line in lines if not isinstance(line, ExpectedOutcome)), default=0.0)
     faults = sum(isinstance(line, Fault) for line in lines)
-    stated = sum(isinstance(line, Stated) for line in lines)
+    stated = sum(isinstance(line, ExpectedOutcome) for line in lines)
     return TraceSummary(seconds, len(arrivals), faults, stated, counts)
 
 
--- a/libs/daemon/ruddersaddle/replays.py
+++ b/libs/daemon/ruddersaddle/replays.py
@@ -16,7 +16,7 @@
 from ruddersaddle_upstreams.engines import DONE
 
 from ruddersaddle.keys import new_key
-from ruddersaddle.traces import Arrival, Stated, TraceLine, fill_text
+from ruddersaddle.traces import Arrival, ExpectedOutcome, TraceLine, fill_text
 
 THREADS = 128
 TIMEOUT_S = 120.0
@@ -129,7 +129,7 @@
     }
     broken, not_judged = [], []
     for line in lines:
-        if not isinstance(line, Stated):
+        if not isinstance(line, ExpectedOutcome):
             continue
         if line.name not in seen:
             not_judged.append(line.name)
--- a/libs/daemon/ruddersaddle/tests/test_traces.py
+++ b/libs/daemon/ruddersaddle/tests/test_traces.py
@@ -8,9 +8,9 @@
 from ruddersaddle.traces import (
     WORKSPACE_NOTE,
     Arrival,
+    ExpectedOutcome,
     Fault,
     Recorder,
-    Stated,
     read_trace,
     write_trace,
 )
@@ -49,7 +49,7 @@
         lines = [
             Arrival(1.0, "w", "/booking/slot", key="k"),
             Fault(2.0, "kill", "engine-1"),
-            Stated("cut_streams", 0, 0),
+            ExpectedOutcome("cut_streams", 0, 0),
         ]
         write_trace(self.path, lines)
         self.assertEqual(read_trace(self.path), lines)
--- a/libs/daemon/ruddersaddle/traces.py
+++ b/libs/daemon/ruddersaddle/traces.py
@@ -44,7 +44,7 @@
     value: float = 0.0
 
 
-class Stated(msgspec.Struct, frozen=True, tag="stated"):
+class ExpectedOutcome(msgspec.Struct, frozen=True, tag="stated"):
     """An outcome that the replay is checked against: a count's bounds."""
 
     name: str
@@ -52,7 +52,7 @@
     highest: float
 
 
-TraceLine = Arrival | Fault | Stated
+TraceLine = Arrival | Fault | ExpectedOutcome
 Application = Callable[[dict[str, Any], Callable], Iterable[bytes]]
 
 
--- a/libs/standins/ruddersaddle_standins/replays.py
+++ b/libs/standins/ruddersaddle_standins/replays.py
@@ -9,7 +9,7 @@
 import numpy as np
 from ruddersaddle.keys import new_key
 from ruddersaddle.replays import COMPLETIONS, TEMPLATE_PREFIX
-from ruddersaddle.traces import Arrival, Fault, Stated, TraceLine, fill_text
+from ruddersaddle.traces import Arrival, ExpectedOutcome, Fault, TraceLine, fill_text
 from ruddersaddle_base.failures import Failure
 from ruddersaddle_base.ids import WorkspaceId
 from ruddersaddle_state.entries import Event, Template, Value
@@ -108,7 +108,7 @@
         """Return a sentence for each stated outcome that does not hold."""
         found = []
         for line in lines:
-            if isinstance(line, Stated):
+            if isinstance(line, ExpectedOutcome):
                 value = self.outcome(line.name)
                 if not line.lowest <= value <= line.highest:
                     found.append(f"{line.name}: {value:g}, stated {line.lowest} to {line.highest}")
@@ -151,7 +151,7 @@
         began = time.monotonic() + LEAD_S
         with ThreadPoolExecutor(THREADS) as pool:
             for number, line in enumerate(self.lines):
-                if isinstance(line, Stated):
+                if isinstance(line, ExpectedOutcome):
                     continue
                 time.sleep(max(0.0, began + line.at - time.monotonic()))
                 pool.submit(self._play, number, line, hosts[number % len(hosts)])
--- a/libs/standins/ruddersaddle_standins/tests/test_commands.py
+++ b/libs/standins/ruddersaddle_standins/tests/test_commands.py
@@ -6,7 +6,7 @@
 import unittest
 from pathlib import Path
 
-from ruddersaddle.traces import Arrival, Stated, write_trace
+from ruddersaddle.traces import Arrival, ExpectedOutcome, write_trace
 
 from ruddersaddle_standins.clients import Client
 from ruddersaddle_standins.fleets import Fleet, Topology, caller_key
@@ -109,8 +109,8 @@
         path = str(Path(self.fleet.folder) / "trace.jsonl")
         prompt = Arrival(0.0, "clinic-1", "/v1/completions", prompt_tokens=50, answer_tokens=3)
         call = Arrival(0.1, "clinic-2", "/booking/slot")
-        good = [Stated("answered_prompts", 1, 1), Stated("answered_calls", 1, 1)]
-        write_trace(path, [prompt, call, *good, Stated("wrong_answers", 0, 0)])
+        good = [ExpectedOutcome("answered_prompts", 1, 1), ExpectedOutcome("answered_calls", 1, 1)]
+        write_trace(path, [prompt, call, *good, ExpectedOutcome("wrong_answers", 0, 0)])
         keys = [f"{name} = {caller_key(name)}" for name in ("clinic-1", "clinic-2")]
         file = self.write("keys.ini", "\n".join(["[keys]", *keys]))
         words = ("trace", "replay", path, "--address", self.address, "--keys", file, "--json")
@@ -118,7 +118,7 @@
         self.assertEqual(done.returncode, 0, done.stderr)
         report = json.loads(done.stdout)
         self.assertEqual((report["broken"], report["not_judged"]), ([], ["wrong_answers"]))
-        write_trace(path, [prompt, Stated("answered_prompts", 2, 2)])
+        write_trace(path, [prompt, ExpectedOutcome("answered_prompts", 2, 2)])
         self.assertEqual(self.run_command(*words).returncode, 1)
 
     def test_drain_is_the_planned_stop(self):
--- a/libs/standins/ruddersaddle_standins/trace_generators.py
+++ b/libs/standins/ruddersaddle_standins/trace_generators.py
@@ -7,7 +7,7 @@
 import random
 
 from ruddersaddle.replays import COMPLETIONS, TEMPLATE_PREFIX
-from ruddersaddle.traces import Arrival, Fault, Stated, TraceLine
+from ruddersaddle.traces import Arrival, ExpectedOutcome, Fault, TraceLine
 
 QUIET_S = 6.0
 EVENT_AT_S = 9.0
@@ -63,10 +63,10 @@
     """Return what a replay of a trace has to show: nothing doubled, cut or wrong."""
     prompts = sum(isinstance(line, Arrival) and line.path == COMPLETIONS for line in lines)
     return [
-        Stated("wrong_answers", 0, 0),
-        Stated("cut_streams", 0, 0),
-        Stated("doubled_calls", 0, 0),
-        Stated("answered_prompts", prompts * 0.98, prompts),
+        ExpectedOutcome("wrong_answers", 0, 0),
+        ExpectedOutcome("cut_streams", 0, 0),
+        ExpectedOutcome("doubled_calls", 0, 0),
+        ExpectedOutcome("answered_prompts", prompts * 0.98, prompts),
     ]
 
 
