--- a/libs/base/ruddersaddle_base/codecs.py
+++ b/libs/base/ruddersaddle_base/codecs.py
@@ -14,7 +14,7 @@
     return msgspec.json.encode(value)
 
 
-def encode_text(value: object) -> str:
+def encode_json_text(value: object) -> str:
     """Return `value` as JSON text."""
     return msgspec.json.encode(value).decode()
 
@@ -27,12 +27,12 @@
         return Failure(Code.BAD_REQUEST, step, peer, str(error))
 
 
-def encode_packed(value: object) -> bytes:
+def encode_msgpack(value: object) -> bytes:
     """Return `value` as MessagePack, for messages between our own processes."""
     return msgspec.msgpack.encode(value)
 
 
-def decode_packed(data: bytes, kind: type[T], step: Step, peer: str) -> T | Failure:
+def decode_msgpack(data: bytes, kind: type[T], step: Step, peer: str) -> T | Failure:
     """Return MessagePack `data` as `kind`, or a failure."""
     try:
         return msgspec.msgpack.decode(data, type=kind)
--- a/libs/daemon/ruddersaddle/commands.py
+++ b/libs/daemon/ruddersaddle/commands.py
@@ -7,7 +7,7 @@
 
 import defopt
 import msgspec
-from ruddersaddle_base.codecs import decode_json, encode_text
+from ruddersaddle_base.codecs import decode_json, encode_json_text
 from ruddersaddle_base.failures import Failure, Step
 from ruddersaddle_base.loggers import start_logging
 from ruddersaddle_base.settings import Settings, describe_settings, read_settings
@@ -339,7 +339,7 @@
 
 
 def _print(as_json: bool, value: object, text: str) -> None:
-    print(encode_text(value) if as_json else text)
+    print(encode_json_text(value) if as_json else text)
 
 
 def _exit(code: int, text: str) -> NoReturn:
--- a/libs/daemon/ruddersaddle/tests/test_callers.py
+++ b/libs/daemon/ruddersaddle/tests/test_callers.py
@@ -4,7 +4,7 @@
 import uuid
 
 from hypothesis import given, strategies
-from ruddersaddle_base.codecs import decode_packed
+from ruddersaddle_base.codecs import decode_msgpack
 from ruddersaddle_base.failures import Code, Failure, Step
 from ruddersaddle_base.ids import START, RecordId, WorkspaceId
 from ruddersaddle_base.tests.property_tests import DETERMINISTIC
@@ -94,7 +94,7 @@
     @DETERMINISTIC
     @given(strategies.binary(max_size=200))
     def test_any_message_of_a_peer_gives_a_value_or_a_failure(self, data):
-        found = decode_packed(data, Envelope, Step.PEER, "peer")
+        found = decode_msgpack(data, Envelope, Step.PEER, "peer")
         self.assertIsInstance(found, Envelope | Failure)
 
 
--- a/libs/serving/ruddersaddle_serving/peers.py
+++ b/libs/serving/ruddersaddle_serving/peers.py
@@ -21,7 +21,7 @@
 from eventlet import patcher
 from eventlet.event import Event as Signal
 from eventlet.hubs import trampoline
-from ruddersaddle_base.codecs import decode_packed, encode_packed
+from ruddersaddle_base.codecs import decode_msgpack, encode_msgpack
 from ruddersaddle_base.failures import Code, Failure, Ran, Step
 
 logger = logging.getLogger(__name__)
@@ -106,13 +106,13 @@
             self._receive(data)
 
     def _receive(self, data: bytes) -> None:
-        envelope = decode_packed(data, Envelope, Step.PEER, "peer")
+        envelope = decode_msgpack(data, Envelope, Step.PEER, "peer")
         if isinstance(envelope, Failure):
             logger.warning("Message could not be decoded. %s", envelope.detail)
             return
         if envelope.got_no_answer:
             self._close_to(envelope.sender, "the peer got no answer")
-        message = decode_packed(bytes(envelope.message), self.message_type, Step.PEER, "peer")
+        message = decode_msgpack(bytes(envelope.message), self.message_type, Step.PEER, "peer")
         if isinstance(message, Failure):
             logger.warning(
                 "Message of %s could not be decoded. %s", envelope.sender, message.detail
@@ -135,7 +135,7 @@
         self._send_envelope(envelope.sender, self._wrap(envelope.exchange, True, answer))
 
     def _wrap(self, exchange: int, is_answer: bool, message: Message) -> Envelope:
-        return Envelope(self.address, exchange, is_answer, msgspec.Raw(encode_packed(message)))
+        return Envelope(self.address, exchange, is_answer, msgspec.Raw(encode_msgpack(message)))
 
     def _wrap_request(self, address: str, exchange: int, message: Message) -> Envelope:
         envelope = self._wrap(exchange, False, message)
@@ -177,7 +177,7 @@
 
     def broadcast(self, addresses: Iterable[str], message: Message) -> None:
         """Send one message to many hosts, as `send` does."""
-        data = encode_packed(self._wrap(NO_ANSWER, False, message))
+        data = encode_msgpack(self._wrap(NO_ANSWER, False, message))
         for address in addresses:
             socket = self._socket_to(address)
             if socket.pipes:
@@ -187,7 +187,7 @@
         socket = self._socket_to(address)
         if not self._await_connection(socket):
             return False
-        return self._send_data(address, socket, encode_packed(envelope))
+        return self._send_data(address, socket, encode_msgpack(envelope))
 
     def _socket_to(self, address: str) -> pynng.Bus0:
         socket = self._socket_by_address.get(address)
