--- a/libs/base/ruddersaddle_base/bounded_outputs.py
+++ b/libs/base/ruddersaddle_base/bounded_outputs.py
@@ -7,21 +7,21 @@
 
 from eventlet import patcher
 
-system = patcher.original("os")
-"""The system's own calls. The green library's `os.write` waits for anything that is not a regular
+unpatched_os = patcher.original("os")
+"""The unpatched_os's own calls. The green library's `os.write` waits for anything that is not a regular
 file before it writes: from a signal's handler, which runs in the event loop, that ended the process
 and cut all requests (8 of 8 streams at a planned stop); elsewhere a full pipe held requests up.
 """
 
-LINES_S = 150.0
+LINES_PER_S = 150.0
 """Lines a second for each process, over time. A host of today's installations ends up to 40
 requests a second with a line each."""
-LINES_BURST = 600.0
+BURST_LINES = 600.0
 """Lines that may come at once after a quiet time."""
-RESERVE = 50
+WARNING_RESERVE = 50
 """Warnings that are written although the bound on lines is reached; the reserve is whole again
 after a quiet time. Else the line that says why a host ends could be dropped in a flood."""
-REPORT_S = 5.0
+REPORT_INTERVAL_S = 5.0
 """Pause between lines that tell how many lines were dropped."""
 
 
@@ -36,62 +36,64 @@
         self.dropped = 0
         """Lines dropped since the last line that told so."""
         self.dropped_total = 0
-        self._saved = LINES_BURST
-        self._reserve = RESERVE
-        self._counted_at = time.monotonic()
-        self._told_at = time.monotonic()
-        self._rest = b""
+        self._allowance = BURST_LINES
+        self._warning_reserve = WARNING_RESERVE
+        self._refilled_at = time.monotonic()
+        self._reported_at = time.monotonic()
+        self._unwritten = b""
         """What the descriptor did not take of the last line; it goes before the next."""
-        system.set_blocking(descriptor, False)
+        unpatched_os.set_blocking(descriptor, False)
 
     def emit(self, record: logging.LogRecord) -> None:
         """Write one record, or count it as dropped."""
         now = time.monotonic()
-        self._saved = min(LINES_BURST, self._saved + (now - self._counted_at) * LINES_S)
-        self._counted_at = now
-        if not self._take(record.levelno or logging.NOTSET):
+        self._allowance = min(
+            BURST_LINES, self._allowance + (now - self._refilled_at) * LINES_PER_S
+        )
+        self._refilled_at = now
+        if not self._try_spend(record.levelno or logging.NOTSET):
             self._drop()
             return
         self._write(self.format(record))
-        if self.dropped and now - self._told_at > REPORT_S:
-            self._tell(now)
+        if self.dropped and now - self._reported_at > REPORT_INTERVAL_S:
+            self._report_dropped(now)
 
-    def _take(self, level: int) -> bool:
+    def _try_spend(self, level: int) -> bool:
         """Return whether a line of this level may be written now."""
-        if self._saved >= LINES_BURST:
-            self._reserve = RESERVE
-        if self._saved >= 1.0:
-            self._saved -= 1.0
+        if self._allowance >= BURST_LINES:
+            self._warning_reserve = WARNING_RESERVE
+        if self._allowance >= 1.0:
+            self._allowance -= 1.0
             return True
-        if level < logging.WARNING or self._reserve == 0:
+        if level < logging.WARNING or self._warning_reserve == 0:
             return False
-        self._reserve -= 1
+        self._warning_reserve -= 1
         return True
 
     def _drop(self) -> None:
         self.dropped += 1
         self.dropped_total += 1
 
-    def _tell(self, now: float) -> None:
+    def _report_dropped(self, now: float) -> None:
         dropped, self.dropped = self.dropped, 0
-        self._told_at = now
+        self._reported_at = now
         text = f"log: {dropped} lines were dropped."
         fields = {"msg": text, "levelname": "WARNING", "host": self.host}
         self._write(self.format(logging.makeLogRecord(fields)))
 
     def _write(self, line: str) -> None:
-        data = self._rest + line.encode() + b"\n"
+        data = self._unwritten + line.encode() + b"\n"
         try:
-            written = system.write(self.descriptor, data)
+            written = unpatched_os.write(self.descriptor, data)
         except OSError:
             # Nobody reads, or not fast enough; a request must not wait for it.
             self._drop()
             return
-        if written < len(self._rest):
-            self._rest = self._rest[written:]
+        if written < len(self._unwritten):
+            self._unwritten = self._unwritten[written:]
             self._drop()
         else:
-            self._rest = data[written:]
+            self._unwritten = data[written:]
 
 
 class BoundedStream(io.TextIOBase):
@@ -109,7 +111,7 @@
         """Writes that were not taken, or in part."""
         with contextlib.suppress(OSError):
             # The descriptor may be closed; then each write is dropped.
-            system.set_blocking(descriptor, False)
+            unpatched_os.set_blocking(descriptor, False)
 
     def writable(self) -> bool:
         """Return true; the stream can't be read."""
@@ -124,6 +126,6 @@
         data = text.encode(errors="backslashreplace")
         written = 0
         with contextlib.suppress(OSError):
-            written = system.write(self.descriptor, data)
+            written = unpatched_os.write(self.descriptor, data)
         self.dropped_total += written < len(data)
         return len(text)
--- a/libs/base/ruddersaddle_base/histograms.py
+++ b/libs/base/ruddersaddle_base/histograms.py
@@ -6,10 +6,10 @@
 
 LOWEST_MS = 1
 HIGHEST_MS = 600_000
-DIGITS = 2
+SIGNIFICANT_DIGITS = 2
 WORKSPACES_MAX = 32
 """Workspaces with histograms of their own; the rest share one, so memory stays bounded."""
-OTHER = "other"
+OTHER_WORKSPACES = "other"
 PERCENTILES = (50.0, 95.0, 99.0)
 
 
@@ -30,21 +30,21 @@
 
     def record(self, measure: Measure, workspace: str, group: str, value_ms: float) -> None:
         """Count one value of `measure` for a workspace and a class."""
-        label = (measure, self._bound(workspace), group)
+        label = (measure, self._workspace_label(workspace), group)
         histogram = self.by_label.get(label)
         if histogram is None:
-            histogram = HdrHistogram(LOWEST_MS, HIGHEST_MS, DIGITS)
+            histogram = HdrHistogram(LOWEST_MS, HIGHEST_MS, SIGNIFICANT_DIGITS)
             self.by_label[label] = histogram
         bounded = min(HIGHEST_MS, max(LOWEST_MS, round(value_ms)))
         histogram.record_value(bounded)
 
-    def _bound(self, workspace: str) -> str:
+    def _workspace_label(self, workspace: str) -> str:
         if workspace in self.workspaces:
             return workspace
         if len(self.workspaces) < WORKSPACES_MAX:
             self.workspaces.add(workspace)
             return workspace
-        return OTHER
+        return OTHER_WORKSPACES
 
     def rows(self) -> list["HistogramRow"]:
         """Return a row for each histogram, in a stable order."""
--- a/libs/base/ruddersaddle_base/settings.py
+++ b/libs/base/ruddersaddle_base/settings.py
@@ -100,7 +100,7 @@
 """Every key that settings may have."""
 
 DEFAULT_BY_NAME = {default.name: default for default in DEFAULTS}
-LIMITS_BY_POLICY = ("predicted", "round_robin", "least_load", "hash")
+POLICIES = ("predicted", "round_robin", "least_load", "hash")
 TRUE_WORDS = ("yes", "true", "on", "1")
 FALSE_WORDS = ("no", "false", "off", "0")
 
@@ -118,7 +118,7 @@
         return f"{place}: {self.name}: {self.expected}"
 
 
-class Given(msgspec.Struct, frozen=True):
+class RawValue(msgspec.Struct, frozen=True):
     """One value as it was given, with its place."""
 
     name: str
@@ -166,7 +166,7 @@
     Unknown keys of a file are logged with a suggestion and passed over; an unknown option is a
     problem, since somebody has just typed it.
     """
-    given: list[Given] = []
+    given: list[RawValue] = []
     problems: list[Problem] = []
     if path:
         given += _read_file(path, problems)
@@ -176,7 +176,7 @@
     values = {name: _convert(DEFAULT_BY_NAME[name], text) for name, text in by_name.items()}
     for item in given:
         _check(item, values, problems)
-    _check_together(values, problems)
+    _check_combinations(values, problems)
     return problems if problems else Settings(values)
 
 
@@ -187,7 +187,7 @@
     return "\n".join(lines)
 
 
-def _read_file(path: str, problems: list[Problem]) -> list[Given]:
+def _read_file(path: str, problems: list[Problem]) -> list[RawValue]:
     parser = configparser.ConfigParser(interpolation=None)
     try:
         text = Path(path).read_text(encoding="utf-8")
@@ -196,7 +196,7 @@
         problems.append(Problem(path, 0, "file", f"a readable file ({error})"))
         return []
     except configparser.Error as error:
-        problems.append(Problem(path, getattr(error, "lineno", 0) or 0, "file", _one_line(error)))
+        problems.append(Problem(path, getattr(error, "lineno", 0) or 0, "file", _join_lines(error)))
         return []
     found = []
     for section in parser.sections():
@@ -205,7 +205,7 @@
                 # A template leaves a value empty where the platform has none; the default counts.
                 continue
             line = find_line(text, section, key)
-            found.append(Given(f"{section}.{key}", value, path, line))
+            found.append(RawValue(f"{section}.{key}", value, path, line))
     return found
 
 
@@ -221,16 +221,16 @@
     return 0
 
 
-def _read_environment(environment: Mapping[str, str]) -> list[Given]:
+def _read_environment(environment: Mapping[str, str]) -> list[RawValue]:
     found = []
     for default in DEFAULTS:
         variable = f"{ENVIRONMENT_PREFIX}{default.section}_{default.key}".upper()
         if variable in environment:
-            found.append(Given(default.name, environment[variable], variable))
+            found.append(RawValue(default.name, environment[variable], variable))
     return found
 
 
-def _read_options(options: Sequence[str], problems: list[Problem]) -> list[Given]:
+def _read_options(options: Sequence[str], problems: list[Problem]) -> list[RawValue]:
     found = []
     for option in options:
         name, equals, text = option.partition("=")
@@ -239,7 +239,7 @@
         elif name not in DEFAULT_BY_NAME:
             problems.append(Problem("option", 0, name, suggest(name, DEFAULT_BY_NAME)))
         else:
-            found.append(Given(name, text, "option"))
+            found.append(RawValue(name, text, "option"))
     return found
 
 
@@ -251,7 +251,7 @@
     return "a known key"
 
 
-def _check(item: Given, values: dict[str, object], problems: list[Problem]) -> None:
+def _check(item: RawValue, values: dict[str, object], problems: list[Problem]) -> None:
     default = DEFAULT_BY_NAME.get(item.name)
     if default is None:
         unknown = Problem(item.source, item.line, item.name, suggest(item.name, DEFAULT_BY_NAME))
@@ -268,9 +268,9 @@
         values[item.name] = value
 
 
-def _check_together(values: dict[str, object], problems: list[Problem]) -> None:
-    if values["routing.policy"] not in LIMITS_BY_POLICY:
-        expected = f"expected one of {', '.join(LIMITS_BY_POLICY)}"
+def _check_combinations(values: dict[str, object], problems: list[Problem]) -> None:
+    if values["routing.policy"] not in POLICIES:
+        expected = f"expected one of {', '.join(POLICIES)}"
         problems.append(Problem("settings", 0, "routing.policy", expected))
     needed = float(values["claims.memory_s"]) + 2 * float(values["claims.skew_s"])
     if needed > float(values["platform.retention_s"]):
@@ -296,7 +296,7 @@
     return False if word in FALSE_WORDS else None
 
 
-def _one_line(error: Exception) -> str:
+def _join_lines(error: Exception) -> str:
     return " ".join(str(error).split())
 
 
--- a/libs/base/ruddersaddle_base/tests/test_bounded_outputs.py
+++ b/libs/base/ruddersaddle_base/tests/test_bounded_outputs.py
@@ -7,9 +7,9 @@
 from unittest import mock
 
 from ruddersaddle_base.bounded_outputs import (
-    LINES_BURST,
-    LINES_S,
-    RESERVE,
+    BURST_LINES,
+    LINES_PER_S,
+    WARNING_RESERVE,
     BoundedHandler,
     BoundedStream,
 )
@@ -33,22 +33,22 @@
     def test_flood_is_bounded_and_told(self) -> None:
         for number in range(2000):
             self.handler.emit(make_record(f"line {number}"))
-        self.assertEqual(self.handler.dropped, 2000 - LINES_BURST)
+        self.assertEqual(self.handler.dropped, 2000 - BURST_LINES)
         self.now += 10.0
         self.handler.emit(make_record("after"))
         lines = os.read(self.reader, 1 << 20).decode().splitlines()
-        dropped = int(2000 - LINES_BURST)
+        dropped = int(2000 - BURST_LINES)
         self.assertEqual(lines[-2:], ["after", f"log: {dropped} lines were dropped."])
 
     def test_warnings_have_a_reserve_in_a_flood(self) -> None:
         for _ in range(2000):
             self.handler.emit(make_record("x"))
         warning = logging.makeLogRecord({"msg": "why", "levelno": logging.WARNING})
-        for _ in range(2 * RESERVE):
+        for _ in range(2 * WARNING_RESERVE):
             self.handler.emit(warning)
         lines = os.read(self.reader, 1 << 20).decode().splitlines()
-        self.assertEqual(lines.count("why"), RESERVE)
-        self.assertEqual(self.handler.dropped_total, 2000 - LINES_BURST + RESERVE)
+        self.assertEqual(lines.count("why"), WARNING_RESERVE)
+        self.assertEqual(self.handler.dropped_total, 2000 - BURST_LINES + WARNING_RESERVE)
 
     def test_total_of_dropped_lines_never_falls(self) -> None:
         for _ in range(2000):
@@ -56,7 +56,7 @@
         self.now += 10.0
         self.handler.emit(make_record("after"))
         self.assertEqual(self.handler.dropped, 0)
-        self.assertEqual(self.handler.dropped_total, 2000 - LINES_BURST)
+        self.assertEqual(self.handler.dropped_total, 2000 - BURST_LINES)
 
     def test_lines_come_back_with_time(self) -> None:
         for _ in range(2000):
@@ -65,7 +65,7 @@
         self.now += 1.0
         for _ in range(1000):
             self.handler.emit(make_record("x"))
-        self.assertEqual(self.handler.dropped, 1000 - LINES_S)
+        self.assertEqual(self.handler.dropped, 1000 - LINES_PER_S)
 
     def test_reader_that_stops_blocks_nobody(self) -> None:
         self.now += 1.0
