--- a/libs/base/ruddersaddle_base/__init__.py
+++ b/libs/base/ruddersaddle_base/__init__.py
@@ -2,6 +2,6 @@
 
 import warnings
 
-# `eventlet` announces its retirement on each import. It is the users' house style and stays until
-# they change it (docs/design.md says where it is used); the notice tells operators nothing.
+# `eventlet` prints a deprecation warning on each import. The users require it, and operators can't
+# act on the warning.
 warnings.filterwarnings("ignore", message=r"\s*Eventlet is deprecated")
--- a/libs/base/ruddersaddle_base/bounded_outputs.py
+++ b/libs/base/ruddersaddle_base/bounded_outputs.py
@@ -1,4 +1,4 @@
-"""Outputs that never wait for their readers: a log handler with a bound on lines, a text stream."""
+"""Outputs that never block on their reader: a rate-limited log handler and a text stream."""
 
 import contextlib
 import io
@@ -8,44 +8,44 @@
 from eventlet import patcher
 
 unpatched_os = patcher.original("os")
-"""The unpatched_os's own calls. The green library's `os.write` waits for anything that is not a regular
-file before it writes: from a signal's handler, which runs in the event loop, that ended the process
-and cut all requests (8 of 8 streams at a planned stop); elsewhere a full pipe held requests up.
+"""The `os` module without eventlet's patches. The patched `os.write` waits, before it writes to
+anything that is not a regular file. In a signal handler, which runs in the event loop, that ended
+the process at a planned stop and cut every open stream; elsewhere a full pipe blocked requests.
 """
 
 LINES_PER_S = 150.0
-"""Lines a second for each process, over time. A host of today's installations ends up to 40
-requests a second with a line each."""
+"""Sustained rate for each process. A host ends up to 40 requests a second and logs a line for
+each."""
 BURST_LINES = 600.0
-"""Lines that may come at once after a quiet time."""
+"""Lines that may be written at once after a period with few lines."""
 WARNING_RESERVE = 50
-"""Warnings that are written although the bound on lines is reached; the reserve is whole again
-after a quiet time. Else the line that says why a host ends could be dropped in a flood."""
+"""Warnings that are written even when the rate limit is reached; refilled once the burst allowance
+is full again. Otherwise a flood of lines could drop the one that says why a host exits."""
 REPORT_INTERVAL_S = 5.0
-"""Pause between lines that tell how many lines were dropped."""
+"""Shortest interval between reports of dropped lines."""
 
 
 class BoundedHandler(logging.Handler):
-    """Writes formatted records to a file descriptor without waiting for its reader."""
+    """Writes formatted records to a file descriptor without blocking on its reader."""
 
     def __init__(self, descriptor: int) -> None:
         super().__init__()
         self.descriptor = descriptor
         self.host = ""
-        """Named in the line about dropped lines, as filters do in others."""
+        """Host field of the report of dropped lines, which no filter adds to."""
         self.dropped = 0
-        """Lines dropped since the last line that told so."""
+        """Lines dropped since the last report."""
         self.dropped_total = 0
         self._allowance = BURST_LINES
         self._warning_reserve = WARNING_RESERVE
         self._refilled_at = time.monotonic()
         self._reported_at = time.monotonic()
         self._unwritten = b""
-        """What the descriptor did not take of the last line; it goes before the next."""
+        """Part of the last line that the descriptor did not accept; written before the next."""
         unpatched_os.set_blocking(descriptor, False)
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write one record, or count it as dropped."""
+        """Write one record, or drop and count it."""
         now = time.monotonic()
         self._allowance = min(
             BURST_LINES, self._allowance + (now - self._refilled_at) * LINES_PER_S
@@ -59,7 +59,7 @@
             self._report_dropped(now)
 
     def _try_spend(self, level: int) -> bool:
-        """Return whether a line of this level may be written now."""
+        """Spend the allowance for a line of this level; return whether the line may be written."""
         if self._allowance >= BURST_LINES:
             self._warning_reserve = WARNING_RESERVE
         if self._allowance >= 1.0:
@@ -86,7 +86,7 @@
         try:
             written = unpatched_os.write(self.descriptor, data)
         except OSError:
-            # Nobody reads, or not fast enough; a request must not wait for it.
+            # The reader is gone or too slow; requests must not wait for it.
             self._drop()
             return
         if written < len(self._unwritten):
@@ -97,24 +97,24 @@
 
 
 class BoundedStream(io.TextIOBase):
-    """Text for people on a descriptor; what its reader does not take at once is dropped.
+    """Text stream on a descriptor; text that can't be written at once is dropped.
 
-    The event loop writes a trace of each task that fails, and the runner a line for each malformed
-    probe. A plain write to a full pipe stopped the process for good; one to a pipe without a reader
-    raised inside the loop and ended it.
+    The event loop writes a traceback for each task that fails, and the runner a line for each
+    malformed probe. A blocking write to a full pipe hangs the process, and a write to a pipe
+    without a reader raises inside the loop and ends it.
     """
 
     def __init__(self, descriptor: int) -> None:
         super().__init__()
         self.descriptor = descriptor
         self.dropped_total = 0
-        """Writes that were not taken, or in part."""
+        """Writes that were dropped, entirely or in part."""
         with contextlib.suppress(OSError):
-            # The descriptor may be closed; then each write is dropped.
+            # If the descriptor is closed, each write is dropped.
             unpatched_os.set_blocking(descriptor, False)
 
     def writable(self) -> bool:
-        """Return true; the stream can't be read."""
+        """Return true: the stream is write-only."""
         return True
 
     def fileno(self) -> int:
@@ -122,7 +122,7 @@
         return self.descriptor
 
     def write(self, text: str) -> int:
-        """Write what is taken at once."""
+        """Write what the descriptor accepts at once and drop the rest."""
         data = text.encode(errors="backslashreplace")
         written = 0
         with contextlib.suppress(OSError):
--- a/libs/base/ruddersaddle_base/clocks.py
+++ b/libs/base/ruddersaddle_base/clocks.py
@@ -1,4 +1,4 @@
-"""The clocks of this program. Leases, orders, ages, verdicts and time budgets all go by them."""
+"""Clocks for leases, orders, ages, verdicts and time budgets."""
 
 import time
 
@@ -6,14 +6,14 @@
 
 
 def now_s() -> float:
-    """Return seconds on a clock that only goes forward, also while the host is suspended.
+    """Return seconds on a monotonic clock that keeps counting while the host is suspended.
 
-    The usual steady clock stands still meanwhile: a host that was suspended for seconds took its
-    lease, its configuration and callers' keys for as young as before.
+    `time.monotonic` stops during suspension: a resumed host would treat its lease, its
+    configuration and callers' keys as younger than they are.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def unix_ms() -> int:
-    """Return the time of day in ms; other hosts' may be some seconds off."""
+    """Return the time of day in ms; clocks of other hosts may differ by some seconds."""
     return int(time.time() * MS_PER_S)
--- a/libs/base/ruddersaddle_base/codecs.py
+++ b/libs/base/ruddersaddle_base/codecs.py
@@ -1,4 +1,4 @@
-"""Encoders and decoders of typed messages, on `msgspec`."""
+"""Encoding and decoding of typed messages with `msgspec`."""
 
 from typing import TypeVar
 
@@ -20,7 +20,7 @@
 
 
 def decode_json(data: bytes | str, kind: type[T], step: Step, peer: str) -> T | Failure:
-    """Return JSON `data` as `kind`, or a failure that names the field that is wrong."""
+    """Return JSON `data` as `kind`, or a failure that names the invalid field."""
     try:
         return msgspec.json.decode(data, type=kind)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
@@ -28,7 +28,7 @@
 
 
 def encode_msgpack(value: object) -> bytes:
-    """Return `value` as MessagePack, for messages between our own processes."""
+    """Return `value` as MessagePack, for messages between hosts."""
     return msgspec.msgpack.encode(value)
 
 
@@ -41,8 +41,9 @@
 
 
 def is_decimal_integer(text: str) -> bool:
-    """Return whether text is a whole number in plain digits, which `int` takes.
+    """Return whether text consists of ASCII decimal digits, which `int` accepts.
 
-    Of superscript digits, which fit into a header, `isdigit` says yes and `int` raises.
+    `isdigit` alone also accepts superscript digits, which may occur in a header and which `int`
+    rejects.
     """
     return text.isascii() and text.isdigit()
--- a/libs/base/ruddersaddle_base/failures.py
+++ b/libs/base/ruddersaddle_base/failures.py
@@ -1,4 +1,4 @@
-"""Failures as sentinel values: what went wrong, at which step and peer, and whether it ran."""
+"""Failures as values: the reason, the step and peer, and whether the call was run."""
 
 from enum import Enum
 
@@ -6,7 +6,7 @@
 
 
 class Ran(Enum):
-    """Whether the call that failed was run by an upstream."""
+    """Whether an upstream ran the failed call."""
 
     NOT_RUN = "not_run"
     RAN = "ran"
@@ -14,7 +14,7 @@
 
 
 class Step(Enum):
-    """The step of a request at which a failure arose."""
+    """The step of a request at which a failure occurred."""
 
     PARSE = "parse"
     AUTHENTICATE = "authenticate"
@@ -34,7 +34,7 @@
 
 
 class Code(Enum):
-    """The reason for a failure, stable for callers."""
+    """The reason for a failure; values are part of the API for callers."""
 
     BAD_REQUEST = "bad_request"
     TOO_LARGE = "too_large"
@@ -55,23 +55,23 @@
     NOT_READY = "not_ready"
     OTHER_VERSION = "other_version"
     GAP = "gap"
-    """Records that were asked for are no longer kept."""
+    """The requested records are no longer retained."""
     STALE_CONFIGURATION = "stale_configuration"
-    """The configuration is not confirmed to be young enough to let a caller's key in."""
+    """The configuration is not confirmed to be recent enough to accept a caller's key."""
     CRASHES_UPSTREAMS = "crashes_upstreams"
-    """Too many upstreams have ended while they ran this request."""
+    """Too many upstreams have crashed while running this request."""
     FITS_NO_ENGINE = "fits_no_engine"
     """The prompt is larger than the memory of every engine."""
     EVACUATED = "evacuated"
-    """Operators have asked that nothing more be sent to the upstreams of any hall in question."""
+    """Operators have evacuated every hall with upstreams for this request."""
     INTERNAL = "internal"
 
 
 class Failure(msgspec.Struct, frozen=True):
     """A value returned in place of a result when a step failed.
 
-    `retry_after_s` is in seconds; `retry_token` is the position that a caller sends back to
-    try the same key again after `not_run`.
+    `retry_token` is the log position that a caller sends back to retry the same key after
+    `not_run`.
     """
 
     code: Code
@@ -83,5 +83,5 @@
     retry_token: int | None = None
 
     def with_ran(self, ran: Ran) -> "Failure":
-        """Return the same failure with another statement of whether it ran."""
+        """Return a copy of the failure with `ran` replaced."""
         return msgspec.structs.replace(self, ran=ran)
--- a/libs/base/ruddersaddle_base/ids.py
+++ b/libs/base/ruddersaddle_base/ids.py
@@ -1,4 +1,4 @@
-"""Ids of the system's things, each a type of its own, and the functions that make new ones."""
+"""Id types and the functions that create new ids."""
 
 import secrets
 import uuid
@@ -16,14 +16,14 @@
 CallKey = NewType("CallKey", str)
 """The caller's idempotency key, scoped to its workspace."""
 BlockKey = NewType("BlockKey", str)
-"""Hex digest that names one block of kept context."""
+"""Hex digest that identifies one block of stored context."""
 Incarnation = NewType("Incarnation", str)
-"""One start of one host's process; a restart gets a new one."""
+"""Identifies one process of a host; each restart gets a new one."""
 Position = NewType("Position", int)
-"""Place of a record in a log stream: the append's offset and the index inside its batch."""
+"""Position of a record in a log stream: the offset of the append and the index in its batch."""
 
 INDEX_BITS = 10
-"""Bits of a position that hold the index inside a batch, so a batch has at most 1024 records."""
+"""Bits of a position that hold the index in a batch, which limits a batch to 1024 records."""
 START = Position(-1)
 """The position before the first record."""
 
@@ -34,12 +34,12 @@
 
 
 def split_offset(position: Position) -> int:
-    """Return the append offset of a position; -1 for `START`."""
+    """Return the offset of the append that a position belongs to; -1 for `START`."""
     return position >> INDEX_BITS
 
 
 def new_incarnation(host: HostId) -> Incarnation:
-    """Return a fresh incarnation of `host`, unique across restarts."""
+    """Return a new incarnation of `host`, unique across restarts."""
     return Incarnation(f"{host}.{secrets.token_hex(6)}")
 
 
@@ -49,10 +49,10 @@
 
 
 def new_record_id() -> RecordId:
-    """Return a fresh id for a log record."""
+    """Return a new id for a log record."""
     return RecordId(uuid.uuid4().hex)
 
 
 def new_request_id() -> RequestId:
-    """Return a fresh id for a caller's request."""
+    """Return a new id for a caller's request."""
     return RequestId(uuid.uuid4().hex[:16])
--- a/libs/base/ruddersaddle_base/loggers.py
+++ b/libs/base/ruddersaddle_base/loggers.py
@@ -1,4 +1,4 @@
-"""JSON-line logs with a fixed prefix for each part of the system."""
+"""JSON-line logs with a fixed prefix for each component."""
 
 import logging
 import sys
@@ -36,18 +36,18 @@
     "part_relays": "kept",
     "metadata_stores": "store",
 }
-"""Prefix of a module's log sentences; a module that is not listed uses its own name."""
+"""Prefix of a module's log lines; a module that is not listed uses its own name."""
 
 
 class PrefixFilter(logging.Filter):
-    """Put the part's prefix before each sentence and the host beside it."""
+    """Prepends the component's prefix to each message and adds the host field."""
 
     def __init__(self, host: str) -> None:
         super().__init__()
         self.host = host
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Add the prefix; always keep the record."""
+        """Add the prefix and the host; no record is filtered out."""
         module = record.name.rpartition(".")[2]
         part = PART_BY_MODULE_ENDING.get(module, module)
         record.msg = f"{part}: {record.msg}"
@@ -56,9 +56,9 @@
 
 
 def start_logging(level: str, host: str, handler: logging.Handler | None = None) -> None:
-    """Write the whole process's logs as JSON lines, to standard error if no handler is given.
+    """Write all logs of the process as JSON lines, to standard error if no handler is given.
 
-    Nothing that the process writes to standard error waits for a reader from here on.
+    From here on no write to standard error blocks on its reader.
     """
     sys.stderr = BoundedStream(STANDARD_ERROR)
     handler = handler or BoundedHandler(STANDARD_ERROR)
@@ -74,7 +74,7 @@
 
 
 def count_dropped() -> dict[str, int]:
-    """Return what was dropped since the start: log lines, and other texts to standard error."""
+    """Return the counts of log lines and of other standard error writes dropped since the start."""
     handlers = [each for each in logging.getLogger().handlers if isinstance(each, BoundedHandler)]
     lines = sum(each.dropped_total for each in handlers)
     texts = sys.stderr.dropped_total if isinstance(sys.stderr, BoundedStream) else 0
--- a/libs/base/ruddersaddle_base/settings.py
+++ b/libs/base/ruddersaddle_base/settings.py
@@ -1,7 +1,7 @@
-"""Settings of one process: a table of defaults, then read, check and normalise.
+"""Settings of one process: the table of defaults, and how values are read and validated.
 
-A file in INI comes first, then the environment (`RUDDERSADDLE_SECTION_KEY`), then options given
-on the command line as `section.key=value`. `DEFAULTS` documents every key.
+Values come from an INI file, then the environment (`RUDDERSADDLE_SECTION_KEY`), then command line
+options (`section.key=value`); later sources override earlier ones. `DEFAULTS` documents every key.
 """
 
 import configparser
@@ -21,36 +21,36 @@
 
 
 class Default(NamedTuple):
-    """One key's default, its kind, its bounds and what it means, units included."""
+    """Default, type, bounds and description (with unit) of one key."""
 
     section: str
     key: str
     value: str
     kind: type
-    about: str
+    description: str
     lowest: float = 0
     highest: float = 1e12
 
     @property
     def name(self) -> str:
-        """The key's full name."""
+        """Full name of the key."""
         return f"{self.section}.{self.key}"
 
 
 DEFAULTS = (
     Default("host", "id", "host-1", str, "this host's id, as the host list names it"),
-    Default("host", "hall", "hall-1", str, "the hall that this host stands in"),
-    Default("host", "link_mbps", "1000", float, "width of the host's link in Mbit/s", 0),
-    Default("host", "address", "127.0.0.1", str, "IP number to listen on"),
+    Default("host", "hall", "hall-1", str, "the hall that this host is in"),
+    Default("host", "link_mbps", "1000", float, "bandwidth of the host's link in Mbit/s", 0),
+    Default("host", "address", "127.0.0.1", str, "IP address to listen on"),
     Default("host", "port", "8080", int, "port for callers and operators", 1, 65535),
     Default("host", "peer_port", "8081", int, "port for the other hosts", 1, 65535),
     Default("host", "operator_digest", "", str, "SHA-256 of the operators' key"),
     Default("host", "log_level", "INFO", str, "DEBUG, INFO, WARNING or ERROR"),
     Default("listen", "callers", "127.0.0.1:8080", str, "IP:port for callers"),
-    Default("listen", "ready", "127.0.0.1:8081", str, "IP:port that the balancer asks"),
+    Default("listen", "ready", "127.0.0.1:8081", str, "IP:port of readiness checks"),
     Default("listen", "peers", "127.0.0.1:8082", str, "IP:port for the other hosts"),
     Default("listen", "metrics", "127.0.0.1:9464", str, "IP:port of the metrics page"),
-    Default("listen", "seeds", "", str, "IP:port of some other hosts' peer listeners, by commas"),
+    Default("listen", "seeds", "", str, "IP:port of other hosts' peer listeners, by commas"),
     Default("platform", "store", "127.0.0.1:9000", str, "IP:port of the metadata store"),
     Default("platform", "log", "127.0.0.1:9000", str, "IP:port of the log service"),
     Default("platform", "host_list", "127.0.0.1:9001", str, "IP:port of the host list"),
@@ -59,45 +59,53 @@
     Default("platform", "snapshot_after", "500", int, "records between snapshots", 2),
     Default("platform", "retention_s", "86400", float, "seconds that the log keeps records", 1),
     Default("requests", "body_max", "1048576", int, "largest body in bytes", 1024),
-    Default("requests", "read_timeout_s", "10", float, "seconds a caller has to send", 0.1, 600),
-    Default("requests", "deadline_s", "30", float, "deadline where a caller names none", 0.1, 3600),
-    Default("requests", "concurrent_max", "2000", int, "requests at once before refusal", 1),
-    Default("requests", "gather_ms", "40", float, "tokens are gathered this long", 0, 60),
-    Default("requests", "stop_lag_s", "3", float, "seconds served on after a planned stop", 0, 600),
+    Default("requests", "read_timeout_s", "10", float, "seconds to read a request", 0.1, 600),
+    Default("requests", "deadline_s", "30", float, "default deadline in seconds", 0.1, 3600),
+    Default("requests", "concurrent_max", "2000", int, "concurrent requests before refusal", 1),
+    Default("requests", "gather_ms", "40", float, "ms that tokens are batched", 0, 60),
+    Default(
+        "requests", "stop_lag_s", "3", float, "seconds of serving after a planned stop", 0, 600
+    ),
     Default("requests", "stop_max_s", "600", float, "longest wait for streams at a stop", 0, 86400),
     Default("requests", "grace_s", "8", float, "seconds from SIGTERM until SIGKILL", 1, 3600),
-    Default("bounds", "key_end_ms", "5000", float, "ms until a key taken away is void", 500),
-    Default("bounds", "key_end_strict", "yes", bool, "whether key_end_ms holds in an outage, too"),
-    Default("bounds", "weights_ms", "12000", float, "ms until old weights are left", 1000),
-    Default("bounds", "lease_ms", "3000", float, "ms that two givers of orders stay apart", 500),
+    Default("bounds", "key_end_ms", "5000", float, "ms until a revoked key is refused", 500),
+    Default("bounds", "key_end_strict", "yes", bool, "whether key_end_ms holds in outages too"),
+    Default("bounds", "weights_ms", "12000", float, "ms until old weights are out of use", 1000),
+    Default("bounds", "lease_ms", "3000", float, "ms between two lease holders", 500),
     Default("bounds", "retry_share", "0.2", float, "retries as a share of requests, all hosts"),
     Default("bounds", "retry_slack", "50", float, "retries beyond that share, all hosts", 0),
     Default("claims", "memory_s", "3600", float, "seconds that a key is remembered", 1, 86400),
-    Default("claims", "skew_s", "30", float, "most seconds that clocks differ", 0, 600),
-    Default("claims", "wait_s", "2.0", float, "longest wait for a claim", 0.05, 60),
-    Default("claims", "gather", "yes", bool, "whether claims that wait share one append"),
+    Default("claims", "skew_s", "30", float, "largest clock skew in seconds", 0, 600),
+    Default("claims", "wait_s", "2.0", float, "longest wait for a claim in seconds", 0.05, 60),
+    Default("claims", "gather", "yes", bool, "whether waiting claims share an append"),
     Default("claims", "ticket_s", "120", float, "seconds for which a ticket may be used", 1, 3600),
-    Default("claims", "answers_max", "67108864", int, "bytes of answers kept for repeats", 0),
-    Default("contexts", "keep", "yes", bool, "whether contexts are kept on store hosts"),
-    Default("contexts", "min_blocks", "4", int, "shortest context worth keeping, in blocks", 1),
-    Default("contexts", "prefill_tokens_s", "8000", float, "tokens an engine prefills a second", 1),
+    Default("claims", "answers_max", "67108864", int, "bytes of cached answers", 0),
+    Default("contexts", "keep", "yes", bool, "whether contexts are saved on store hosts"),
+    Default("contexts", "min_blocks", "4", int, "shortest context to save, in blocks", 1),
+    Default(
+        "contexts", "prefill_tokens_s", "8000", float, "prefill tokens a second of an engine", 1
+    ),
     Default("contexts", "timeout_s", "5", float, "seconds for one transfer", 0.05, 120),
     Default("contexts", "prefetch_s", "20", float, "seconds before an event to prefetch", 0, 3600),
     Default("routing", "policy", "predicted", str, "predicted, round_robin, least_load, hash"),
     Default("routing", "load_poll_s", "1.0", float, "seconds between load reports", 0.05, 60),
-    Default("routing", "backlog_s", "0.3", float, "prefill let to wait at engines; 0: any", 0, 60),
-    Default("routing", "retry_share", "0.1", float, "retries as a share of first tries", 0, 1),
-    Default("routing", "limit_start", "8", int, "first concurrency limit of an upstream", 1, 10000),
+    Default(
+        "routing", "backlog_s", "0.3", float, "prefill backlog at engines; 0: unlimited", 0, 60
+    ),
+    Default("routing", "retry_share", "0.1", float, "retries as a share of first attempts", 0, 1),
+    Default(
+        "routing", "limit_start", "8", int, "initial concurrency limit of an upstream", 1, 10000
+    ),
     Default("routing", "limit_max", "64", int, "highest limit of an upstream", 1, 10000),
     Default("routing", "failures_open", "3", int, "failures in a row that open a circuit", 1, 100),
     Default("routing", "open_s", "2.0", float, "seconds that a circuit stays open", 0.05, 600),
     Default("routing", "connect_s", "1.0", float, "seconds to connect to an upstream", 0.05, 60),
-    Default("routing", "read_s", "15", float, "seconds between bytes of an upstream", 0.05, 600),
-    Default("leases", "length_s", "6", float, "seconds that a lease is held", 0.2, 600),
-    Default("leases", "margin_s", "2", float, "seconds a successor waits past a lease", 0, 600),
+    Default("routing", "read_s", "15", float, "seconds without a byte of an upstream", 0.05, 600),
+    Default("leases", "length_s", "6", float, "duration of a lease in seconds", 0.2, 600),
+    Default("leases", "margin_s", "2", float, "seconds to wait after another's lease", 0, 600),
     Default("traces", "file", "", str, "file to record a trace to; empty for none"),
 )
-"""Every key that settings may have."""
+"""All known keys."""
 
 DEFAULT_BY_NAME = {default.name: default for default in DEFAULTS}
 POLICIES = ("predicted", "round_robin", "least_load", "hash")
@@ -106,7 +114,7 @@
 
 
 class Problem(msgspec.Struct, frozen=True):
-    """One wrong setting: where it stands, what was expected and the nearest known key."""
+    """One invalid setting: its place, and what was expected or the nearest known key."""
 
     source: str
     line: int
@@ -119,7 +127,7 @@
 
 
 class RawValue(msgspec.Struct, frozen=True):
-    """One value as it was given, with its place."""
+    """One value before conversion, with its source."""
 
     name: str
     text: str
@@ -128,7 +136,7 @@
 
 
 class Settings:
-    """Checked values by full name (`section.key`)."""
+    """Validated values by full name (`section.key`)."""
 
     def __init__(self, by_name: Mapping[str, object]) -> None:
         self.by_name = dict(by_name)
@@ -146,25 +154,25 @@
         return str(self.by_name[name])
 
     def number(self, name: str) -> float:
-        """Return a number, in the unit that `DEFAULTS` gives."""
+        """Return a number in the unit that `DEFAULTS` documents."""
         return float(self.by_name[name])
 
     def integer(self, name: str) -> int:
-        """Return a whole number."""
+        """Return an integer."""
         return int(self.by_name[name])
 
     def flag(self, name: str) -> bool:
-        """Return a yes or no."""
+        """Return a boolean."""
         return bool(self.by_name[name])
 
 
 def read_settings(
     path: str | None, environment: Mapping[str, str], options: Sequence[str]
 ) -> Settings | list[Problem]:
-    """Read, check and normalise the settings; return every problem if there is one.
+    """Read, validate and convert the settings; return all problems if there are any.
 
-    Unknown keys of a file are logged with a suggestion and passed over; an unknown option is a
-    problem, since somebody has just typed it.
+    An unknown key in a file is logged with a suggestion and ignored. An unknown command line option
+    is a problem, since it is most likely a typing error.
     """
     given: list[RawValue] = []
     problems: list[Problem] = []
@@ -183,7 +191,7 @@
 def describe_settings() -> str:
     """Return the table of defaults as Markdown."""
     lines = ["| key | default | meaning |", "| --- | --- | --- |"]
-    lines += [f"| `{each.name}` | `{each.value}` | {each.about} |" for each in DEFAULTS]
+    lines += [f"| `{each.name}` | `{each.value}` | {each.description} |" for each in DEFAULTS]
     return "\n".join(lines)
 
 
@@ -202,7 +210,7 @@
     for section in parser.sections():
         for key, value in parser.items(section):
             if not value.strip():
-                # A template leaves a value empty where the platform has none; the default counts.
+                # Templates leave a value empty where the platform has none; use the default.
                 continue
             line = find_line(text, section, key)
             found.append(RawValue(f"{section}.{key}", value, path, line))
@@ -210,7 +218,7 @@
 
 
 def find_line(text: str, section: str, key: str) -> int:
-    """Return the line number of a key in INI `text`, or 0."""
+    """Return the line number of a key in INI `text`, or 0 if it is not found."""
     current = ""
     for number, line in enumerate(text.splitlines(), 1):
         heading = re.match(r"\s*\[(.+)\]", line)
@@ -244,7 +252,7 @@
 
 
 def suggest(name: str, known: Sequence[str] | Mapping[str, object]) -> str:
-    """Return a sentence that names the nearest known key."""
+    """Return the expectation of a known key, with the nearest one as a suggestion."""
     near = difflib.get_close_matches(name, list(known), n=1, cutoff=0.4)
     if near:
         return f"a known key; the nearest is {near[0]}"
@@ -255,7 +263,7 @@
     default = DEFAULT_BY_NAME.get(item.name)
     if default is None:
         unknown = Problem(item.source, item.line, item.name, suggest(item.name, DEFAULT_BY_NAME))
-        logger.warning("Unknown key passed over. %s", unknown)
+        logger.warning("Unknown key ignored. %s", unknown)
         return
     value = _convert(default, item.text)
     if value is None:
--- a/libs/base/ruddersaddle_base/tests/property_tests.py
+++ b/libs/base/ruddersaddle_base/tests/property_tests.py
@@ -1,4 +1,4 @@
-"""How tests draw inputs: the same in each run, however busy the machine is."""
+"""Hypothesis settings for property tests: the same inputs in each run, without time limits."""
 
 from hypothesis import HealthCheck, settings
 
@@ -8,5 +8,5 @@
     deadline=None,
     suppress_health_check=[HealthCheck.too_slow],
 )
-"""No bound on time decides a test: beside other work the library's check on the speed of drawing
-failed a test whose property held (1 valid input after 2.1 s)."""
+"""The health check on the speed of input generation is off: on a busy machine (1 valid input after
+2.1 s) it failed tests whose property held."""
--- a/libs/base/ruddersaddle_base/tests/test_bounded_outputs.py
+++ b/libs/base/ruddersaddle_base/tests/test_bounded_outputs.py
@@ -1,4 +1,4 @@
-"""Tests of the log handler that neither blocks nor floods."""
+"""Tests of the rate-limited, non-blocking log handler and text stream."""
 
 import logging
 import os
@@ -30,7 +30,7 @@
         self.addCleanup(patch.stop)
         self.handler = BoundedHandler(writer)
 
-    def test_flood_is_bounded_and_told(self) -> None:
+    def test_flood_is_bounded_and_reported(self) -> None:
         for number in range(2000):
             self.handler.emit(make_record(f"line {number}"))
         self.assertEqual(self.handler.dropped, 2000 - BURST_LINES)
@@ -58,7 +58,7 @@
         self.assertEqual(self.handler.dropped, 0)
         self.assertEqual(self.handler.dropped_total, 2000 - BURST_LINES)
 
-    def test_lines_come_back_with_time(self) -> None:
+    def test_allowance_refills_over_time(self) -> None:
         for _ in range(2000):
             self.handler.emit(make_record("x"))
         self.handler.dropped = 0
@@ -67,19 +67,19 @@
             self.handler.emit(make_record("x"))
         self.assertEqual(self.handler.dropped, 1000 - LINES_PER_S)
 
-    def test_reader_that_stops_blocks_nobody(self) -> None:
+    def test_stopped_reader_does_not_block(self) -> None:
         self.now += 1.0
         for _ in range(20):
             self.handler.emit(make_record("x" * 10_000))
         self.assertGreater(self.handler.dropped, 0)
 
-    def test_line_that_was_taken_in_part_is_finished_before_the_next(self) -> None:
-        """A pipe takes what fits; the next line was glued to half of the last one."""
+    def test_partly_written_line_is_finished_before_the_next(self) -> None:
+        """A pipe accepts what fits; the next line must not be appended to half of the last one."""
         for _ in range(20):
             self.handler.emit(make_record("x" * 10_000))
-        held = os.read(self.reader, 1 << 20)
+        pending = os.read(self.reader, 1 << 20)
         self.handler.emit(make_record("after"))
-        lines = (held + os.read(self.reader, 1 << 20)).decode().splitlines()
+        lines = (pending + os.read(self.reader, 1 << 20)).decode().splitlines()
         self.assertEqual({len(line) for line in lines[:-1]}, {10_000})
         self.assertEqual(lines[-1], "after")
         self.assertEqual(len(lines) - 1 + self.handler.dropped, 20)
@@ -97,7 +97,7 @@
         os.close(writer)
         print("closed", file=stream)
 
-    def test_text_that_is_read_comes_whole(self) -> None:
+    def test_text_that_is_read_arrives_complete(self) -> None:
         reader, writer = os.pipe()
         self.addCleanup(os.close, reader)
         self.addCleanup(os.close, writer)
--- a/libs/base/ruddersaddle_base/tests/test_green_logs.py
+++ b/libs/base/ruddersaddle_base/tests/test_green_logs.py
@@ -1,8 +1,8 @@
-"""Logs and standard error of a program that runs on the green library, in a child process.
+"""Tests of logs and standard error under eventlet's monkey patching, in a child process.
 
-Here nothing may wait: signals' handlers and timers run inside the event loop. A child process is
-needed, as the library replaces the system's calls for good. Traces that the loop itself writes
-ended it where standard error was a pipe without a reader: the write failed, inside the loop.
+Signal handlers and timers run inside the event loop, so nothing there may block. A child process
+is needed because the patches can't be undone. Tracebacks that the loop itself writes must not end
+it: with a pipe without a reader as standard error, the write fails inside the loop.
 """
 
 import os
@@ -30,7 +30,7 @@
 eventlet.sleep(0.05)
 os._exit(7)
 """
-"""More traces than a pipe takes (64 KB)."""
+"""Writes more tracebacks than a pipe holds (64 KB)."""
 LINES_IN_THE_LOOP = """
 from eventlet.hubs import get_hub
 start_logging("INFO", "host-1", BoundedHandler(1))
@@ -55,12 +55,12 @@
 eventlet.sleep(0.3)
 os._exit(len(done))
 """
-"""A task is ready all the time; lines are written by timers and by a signal's handler."""
+"""Timers and a signal handler write lines while another task is always ready to run."""
 
 
 class GreenLogsTest(unittest.TestCase):
     def run_child(self, code: str, output: int, errors: int) -> int:
-        """Return the status of a child process."""
+        """Return the exit status of a child process."""
         command = [sys.executable, "-c", HEAD + code]
         child = subprocess.Popen(command, stdout=output, stderr=errors)
         try:
@@ -70,7 +70,7 @@
             child.wait()
 
     def make_pipe(self, *, closed: bool) -> int:
-        """Return the end for writing of a pipe that nobody reads."""
+        """Return the write end of a pipe that nobody reads."""
         reader, writer = os.pipe()
         self.addCleanup(os.close, writer)
         if closed:
@@ -79,17 +79,17 @@
             self.addCleanup(os.close, reader)
         return writer
 
-    def test_failing_tasks_end_no_loop_where_nobody_reads_their_traces(self) -> None:
+    def test_failing_tasks_do_not_end_the_loop_when_nobody_reads_their_tracebacks(self) -> None:
         for closed in (True, False):
             with self.subTest(closed=closed):
                 errors = self.make_pipe(closed=closed)
                 self.assertEqual(self.run_child(FAILING_TASKS, subprocess.DEVNULL, errors), 7)
 
-    def test_failing_tasks_where_both_outputs_are_one_pipe(self) -> None:
+    def test_failing_tasks_with_both_outputs_on_one_pipe(self) -> None:
         both = self.make_pipe(closed=False)
         self.assertEqual(self.run_child(FAILING_TASKS, both, both), 7)
 
-    def test_line_from_inside_the_loop_lets_no_other_task_run(self) -> None:
+    def test_log_line_from_inside_the_loop_does_not_yield_to_other_tasks(self) -> None:
         for closed in (True, False):
             with self.subTest(closed=closed):
                 output = self.make_pipe(closed=closed)
--- a/libs/base/ruddersaddle_base/tests/test_settings.py
+++ b/libs/base/ruddersaddle_base/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Tests of settings: order of sources, places of problems, and a parser that never breaks."""
+"""Tests of settings: precedence of sources, places of problems, and arbitrary input."""
 
 import tempfile
 import unittest
@@ -25,7 +25,7 @@
         self.path.write_text(text)
         return read_settings(str(self.path), environment or {}, options)
 
-    def test_options_go_before_the_environment_and_that_before_the_file(self):
+    def test_options_override_the_environment_and_that_overrides_the_file(self):
         environment = {"RUDDERSADDLE_HOST_HALL": "oddeyri", "RUDDERSADDLE_HOST_ID": "host-2"}
         found = self.read("[host]\nid = host-1\nhall = a\nport = 9\n", environment, ["host.id=h3"])
         values = (found.text("host.id"), found.text("host.hall"), found.integer("host.port"))
@@ -40,7 +40,7 @@
         problems = self.read("[host]\nport = 70000\n")
         self.assertIn("expected 1 to 65535", str(problems[0]))
 
-    def test_an_unknown_key_of_a_file_is_warned_of_with_the_nearest(self):
+    def test_an_unknown_key_of_a_file_logs_a_warning_with_the_nearest(self):
         with self.assertLogs("ruddersaddle_base.settings", "WARNING") as logs:
             found = self.read("[claims]\nmemry_s = 5\n")
         self.assertIsInstance(found, Settings)
@@ -61,7 +61,7 @@
 
     def test_every_default_is_documented_and_converts(self):
         self.assertEqual(len(Settings.from_defaults().by_name), len(DEFAULTS))
-        self.assertTrue(all(default.about for default in DEFAULTS))
+        self.assertTrue(all(default.description for default in DEFAULTS))
         self.assertIn("claims.memory_s", describe_settings())
 
     @DETERMINISTIC
@@ -72,7 +72,7 @@
 
     @DETERMINISTIC
     @given(strategies.sampled_from(DEFAULTS), strategies.text(max_size=20))
-    def test_any_value_is_taken_or_named(self, default, value):
+    def test_any_value_is_accepted_or_named_in_a_problem(self, default, value):
         found = read_settings(None, {}, [f"{default.name}={value}"])
         if isinstance(found, list):
             self.assertTrue(any(default.name in str(problem) for problem in found))
