--- a/libs/daemon/ruddersaddle/daemons.py
+++ b/libs/daemon/ruddersaddle/daemons.py
@@ -28,7 +28,7 @@
 from ruddersaddle.gateways import Gateway, HostView
 from ruddersaddle.generations import Generator
 from ruddersaddle.keyed_calls import KeyedCalls
-from ruddersaddle.messages import AskConfiguration, ConfigurationMessage, Message
+from ruddersaddle.messages import ConfigurationReply, ConfigurationRequest, Message
 from ruddersaddle.orders import OrderTask
 from ruddersaddle.pools import Pools
 from ruddersaddle.prefetches import Prefetcher
@@ -217,15 +217,15 @@
         others = [row for row in self.hosts.entries() if row.id != own and row.peer_address]
         random.shuffle(others)
         for row in others[:PEERS_ASKED]:
-            answer = self.peers.ask(row.peer_address, AskConfiguration(), PEER_ASK_S)
-            if isinstance(answer, ConfigurationMessage) and answer.snapshot is not None:
+            answer = self.peers.ask(row.peer_address, ConfigurationRequest(), PEER_ASK_S)
+            if isinstance(answer, ConfigurationReply) and answer.snapshot is not None:
                 taken = self.configuration.adopt(answer.snapshot)
                 logger.info("State of %s at %d, taken: %s.", row.id, answer.snapshot.upto, taken)
 
     def _answer_peer(self, message: Message) -> Message:
-        if isinstance(message, AskConfiguration):
+        if isinstance(message, ConfigurationRequest):
             complete = self.configuration.complete
-            return ConfigurationMessage(self.configuration.snapshot() if complete else None)
+            return ConfigurationReply(self.configuration.snapshot() if complete else None)
         return self.services.serve_peer(message)
 
     def is_ready(self) -> bool:
--- a/libs/daemon/ruddersaddle/keyed_calls.py
+++ b/libs/daemon/ruddersaddle/keyed_calls.py
@@ -18,20 +18,20 @@
 from ruddersaddle_state.records import Claim, Outcome, RecordResult, Void
 
 from ruddersaddle.answers import Answer, KeptAnswers
-from ruddersaddle.messages import AnswerMessage, AskAnswer, ServiceCall
+from ruddersaddle.messages import AnswerReply, AnswerRequest, ServiceCall
 
 logger = logging.getLogger(__name__)
 
 LOG = "log"
 RETRY_AFTER_S = 2.0
 """When a caller should ask again after an answer that the log could not settle, in seconds."""
-ASK_S = 1.5
+OWNER_TIMEOUT_S = 1.5
 """Longest wait for the owner of a key to say that it still runs the call, in seconds."""
-STILL_RUNNING_S = 0.5
+ANSWER_WAIT_S = 0.5
 """An owner that is asked says that it still runs the call after this long, in seconds."""
 
 Dispatch = Callable[[ServiceCall], Answer]
-AskOwner = Callable[[Incarnation, AskAnswer, float], AnswerMessage | Failure]
+AskOwner = Callable[[Incarnation, AnswerRequest, float], AnswerReply | Failure]
 
 
 class KeyedCall(msgspec.Struct, frozen=True):
@@ -174,9 +174,9 @@
         if owner == self.incarnation:
             self._release(keyed.key)
             return _forsaken()
-        question = AskAnswer(owner, keyed.key, keyed.call)
+        request = AnswerRequest(owner, keyed.key, keyed.call)
         while keyed.remaining_s() > 0:
-            message = ask(owner, question, min(ASK_S, keyed.remaining_s()))
+            message = ask(owner, request, min(OWNER_TIMEOUT_S, keyed.remaining_s()))
             if isinstance(message, Failure):
                 return message.with_ran(Ran.UNKNOWN)
             if message.reply is not None:
@@ -185,14 +185,14 @@
                 return message.failure
         return _still_running()
 
-    def serve(self, question: AskAnswer) -> AnswerMessage:
+    def serve(self, request: AnswerRequest) -> AnswerReply:
         """Answer another host that asks for the answer of a key which this process holds."""
-        if question.owner != self.incarnation:
-            return AnswerMessage(failure=_forsaken())
-        if question.key not in self.answers.by_key:
-            self._release(question.key)
-            return AnswerMessage(failure=_forsaken())
-        answer = self.answers.join(question.key, question.call, STILL_RUNNING_S)
+        if request.owner != self.incarnation:
+            return AnswerReply(failure=_forsaken())
+        if request.key not in self.answers.by_key:
+            self._release(request.key)
+            return AnswerReply(failure=_forsaken())
+        answer = self.answers.join(request.key, request.call, ANSWER_WAIT_S)
         return to_message(answer)
 
     def _release(self, key: CallKey) -> None:
@@ -204,13 +204,13 @@
         self.appender.post(Void(new_record_id(), key, state.holder, state.dated))
 
 
-def to_message(answer: Answer | None) -> AnswerMessage:
+def to_message(answer: Answer | None) -> AnswerReply:
     """Return an answer, or None for one that is still running, as a message."""
     if answer is None:
-        return AnswerMessage()
+        return AnswerReply()
     if isinstance(answer, Failure):
-        return AnswerMessage(failure=answer)
-    return AnswerMessage(reply=answer)
+        return AnswerReply(failure=answer)
+    return AnswerReply(reply=answer)
 
 
 def _expired() -> Failure:
--- a/libs/daemon/ruddersaddle/messages.py
+++ b/libs/daemon/ruddersaddle/messages.py
@@ -23,7 +23,7 @@
         return self.method, self.path, self.body
 
 
-class AskAnswer(msgspec.Struct, frozen=True, tag="ask_answer"):
+class AnswerRequest(msgspec.Struct, frozen=True, tag="ask_answer"):
     """Asks the process that holds a key for the call's answer."""
 
     owner: Incarnation
@@ -31,7 +31,7 @@
     call: ServiceCall
 
 
-class AskTicketed(msgspec.Struct, frozen=True, tag="ask_ticketed"):
+class TicketedCallRequest(msgspec.Struct, frozen=True, tag="ask_ticketed"):
     """Asks the process that a ticket names to run the call, or for its answer."""
 
     owner: Incarnation
@@ -40,21 +40,23 @@
     call: ServiceCall
 
 
-class AskConfiguration(msgspec.Struct, frozen=True, tag="ask_configuration"):
+class ConfigurationRequest(msgspec.Struct, frozen=True, tag="ask_configuration"):
     """Asks for the folded configuration."""
 
 
-class AnswerMessage(msgspec.Struct, frozen=True, tag="answer"):
+class AnswerReply(msgspec.Struct, frozen=True, tag="answer"):
     """A call's answer or its failure; both are None while it is still running."""
 
     reply: Reply | None = None
     failure: Failure | None = None
 
 
-class ConfigurationMessage(msgspec.Struct, frozen=True, tag="configuration"):
+class ConfigurationReply(msgspec.Struct, frozen=True, tag="configuration"):
     """The folded configuration, or None from a host that has none."""
 
     snapshot: Snapshot | None
 
 
-Message = AskAnswer | AskTicketed | AskConfiguration | AnswerMessage | ConfigurationMessage
+Message = (
+    AnswerRequest | TicketedCallRequest | ConfigurationRequest | AnswerReply | ConfigurationReply
+)
--- a/libs/daemon/ruddersaddle/service_routes.py
+++ b/libs/daemon/ruddersaddle/service_routes.py
@@ -18,13 +18,19 @@
 from ruddersaddle.answers import Answer, AnswerCounts
 from ruddersaddle.bodies import read_body
 from ruddersaddle.callers import CALLER, KEY_HEADER, Limits, read_key, read_retry_token
-from ruddersaddle.keyed_calls import ASK_S, STILL_RUNNING_S, KeyedCall, KeyedCalls, to_message
+from ruddersaddle.keyed_calls import (
+    ANSWER_WAIT_S,
+    OWNER_TIMEOUT_S,
+    KeyedCall,
+    KeyedCalls,
+    to_message,
+)
 from ruddersaddle.messages import (
-    AnswerMessage,
-    AskAnswer,
-    AskTicketed,
+    AnswerReply,
+    AnswerRequest,
     Message,
     ServiceCall,
+    TicketedCallRequest,
 )
 from ruddersaddle.pools import Pools, PoolView
 from ruddersaddle.responses import Responder
@@ -157,9 +163,11 @@
             return ticket
         if ticket.owner == self.tickets.incarnation:
             return self.tickets.run(workspace.id, text, call, self.caller.dispatch_once)
-        question = AskTicketed(ticket.owner, workspace.id, text, call)
+        request = TicketedCallRequest(ticket.owner, workspace.id, text, call)
         while limits.remaining_s() > 0:
-            message = self.ask_owner(ticket.owner, question, min(ASK_S, limits.remaining_s()))
+            message = self.ask_owner(
+                ticket.owner, request, min(OWNER_TIMEOUT_S, limits.remaining_s())
+            )
             if isinstance(message, Failure):
                 return message.with_ran(Ran.UNKNOWN)
             if message.reply is not None:
@@ -169,46 +177,46 @@
         return Failure(Code.DEADLINE, Step.PEER, ticket.owner, "still running", Ran.UNKNOWN)
 
     def ask_owner(
-        self, owner: Incarnation, question: AskAnswer | AskTicketed, timeout_s: float
-    ) -> AnswerMessage | Failure:
+        self, owner: Incarnation, request: AnswerRequest | TicketedCallRequest, timeout_s: float
+    ) -> AnswerReply | Failure:
         """Ask the process that owns a key or ticket; one that is not listed is gone."""
         row = self.hosts.by_id.get(incarnation_host(owner))
         if row is None or not row.peer_address or self.peers is None:
             detail = "the host is not listed"
             return Failure(Code.PEER_GONE, Step.PEER, owner, detail, Ran.UNKNOWN)
-        answer = self.peers.ask(row.peer_address, question, timeout_s)
-        if isinstance(answer, Failure | AnswerMessage):
+        answer = self.peers.ask(row.peer_address, request, timeout_s)
+        if isinstance(answer, Failure | AnswerReply):
             return answer
         return Failure(Code.PEER_GONE, Step.PEER, owner, "another message came", Ran.UNKNOWN)
 
-    def serve_peer(self, message: Message) -> AnswerMessage:
+    def serve_peer(self, message: Message) -> AnswerReply:
         """Answer another host's question about a key or a ticket that this process owns."""
         match message:
-            case AskAnswer():
+            case AnswerRequest():
                 return self.keyed.serve(message)
-            case AskTicketed() if message.owner == self.tickets.incarnation:
+            case TicketedCallRequest() if message.owner == self.tickets.incarnation:
                 return self._serve_ticketed(message)
         detail = "the process that issued the ticket is gone"
         failure = Failure(Code.PEER_GONE, Step.PEER, "host", detail, Ran.UNKNOWN)
-        return AnswerMessage(failure=failure)
+        return AnswerReply(failure=failure)
 
-    def _serve_ticketed(self, question: AskTicketed) -> AnswerMessage:
+    def _serve_ticketed(self, request: TicketedCallRequest) -> AnswerReply:
         """Start a ticket's call if it was not, and wait a little for its answer."""
-        key = CallKey(question.ticket)
+        key = CallKey(request.ticket)
         answers = self.tickets.answers
         if key not in answers.by_key:
             task = eventlet.spawn(
                 self.tickets.run,
-                question.workspace,
-                question.ticket,
-                question.call,
+                request.workspace,
+                request.ticket,
+                request.call,
                 self.caller.dispatch_once,
             )
             eventlet.sleep(0)
             if key not in answers.by_key:
                 # It was refused and holds no slot, so its answer is here at once.
                 return to_message(task.wait())
-        return to_message(answers.join(key, question.call, STILL_RUNNING_S))
+        return to_message(answers.join(key, request.call, ANSWER_WAIT_S))
 
 
 def _read_call(
