--- a/libs/daemon/ruddersaddle/answers.py
+++ b/libs/daemon/ruddersaddle/answers.py
@@ -15,7 +15,7 @@
 Answer = Reply | Failure
 
 
-class Slot:
+class AnswerSlot:
     """One call that this process runs or ran."""
 
     def __init__(self, call: ServiceCall) -> None:
@@ -30,28 +30,28 @@
         return len(self.answer.body) if isinstance(self.answer, Reply) else 0
 
 
-class KeptAnswers:
+class AnswerCache:
     """Slots by key; the oldest answers are dropped first, their keys stay."""
 
     def __init__(self, bytes_max: int, memory_s: float) -> None:
         self.bytes_max = bytes_max
         self.memory_s = memory_s
-        self.bytes_kept = 0
-        self.by_key: OrderedDict[CallKey, Slot] = OrderedDict()
+        self.cached_bytes = 0
+        self.by_key: OrderedDict[CallKey, AnswerSlot] = OrderedDict()
 
-    def begin(self, key: CallKey, call: ServiceCall) -> Slot:
+    def begin(self, key: CallKey, call: ServiceCall) -> AnswerSlot:
         """Take the slot of a call that this process is about to run."""
-        self._forget_old()
-        slot = Slot(call)
+        self._evict_expired()
+        slot = AnswerSlot(call)
         self.by_key[key] = slot
         return slot
 
-    def finish(self, slot: Slot, answer: Answer) -> None:
+    def finish(self, slot: AnswerSlot, answer: Answer) -> None:
         """Keep a call's answer and wake whoever waits for it."""
         slot.answer = answer
-        self.bytes_kept += slot.size
+        self.cached_bytes += slot.size
         slot.signal.send(None)
-        self._drop_oldest()
+        self._evict_to_limit()
 
     def remove(self, key: CallKey, answer: Answer) -> None:
         """Give a slot up for a call that was not run; those who wait get `answer`."""
@@ -71,25 +71,25 @@
                 slot.signal.wait()
         return slot.answer
 
-    def _drop_oldest(self) -> None:
+    def _evict_to_limit(self) -> None:
         for slot in self.by_key.values():
-            if self.bytes_kept <= self.bytes_max:
+            if self.cached_bytes <= self.bytes_max:
                 return
             if isinstance(slot.answer, Reply):
-                self.bytes_kept -= slot.size
-                slot.answer = dropped_answer()
+                self.cached_bytes -= slot.size
+                slot.answer = evicted_answer()
 
-    def _forget_old(self) -> None:
+    def _evict_expired(self) -> None:
         oldest = time.time() - self.memory_s
         while self.by_key:
             key, slot = next(iter(self.by_key.items()))
             if slot.began >= oldest or slot.answer is None:
                 return
-            self.bytes_kept -= slot.size
+            self.cached_bytes -= slot.size
             del self.by_key[key]
 
 
-def dropped_answer() -> Failure:
+def evicted_answer() -> Failure:
     """Return what a repeat gets once the answer itself is no longer kept."""
     detail = "the call ran; its answer is no longer kept"
     return Failure(Code.KEY_IN_USE, Step.CLAIM, "host", detail, Ran.RAN)
@@ -103,7 +103,7 @@
     unknown: int = 0
     ran: int = 0
 
-    def note(self, answer: Answer) -> None:
+    def record(self, answer: Answer) -> None:
         """Count one answer."""
         if isinstance(answer, Reply):
             self.answered += 1
--- a/libs/daemon/ruddersaddle/daemons.py
+++ b/libs/daemon/ruddersaddle/daemons.py
@@ -23,7 +23,7 @@
 from ruddersaddle_state.records import Stream
 from ruddersaddle_upstreams.host_lists import HostList
 
-from ruddersaddle.answers import KeptAnswers
+from ruddersaddle.answers import AnswerCache
 from ruddersaddle.contexts import KeptContexts
 from ruddersaddle.gateways import Gateway, HostView
 from ruddersaddle.generations import Generator
@@ -36,7 +36,7 @@
 from ruddersaddle.service_calls import ServiceCaller
 from ruddersaddle.service_routes import ServiceRoutes
 from ruddersaddle.snapshots import SnapshotTask
-from ruddersaddle.tickets import TicketOffice
+from ruddersaddle.tickets import TicketIssuer
 from ruddersaddle.traces import Recorder
 
 logger = logging.getLogger(__name__)
@@ -114,11 +114,11 @@
             self.incarnation,
             self.claims_follower,
             self.appender_by_stream[Stream.CLAIMS],
-            KeptAnswers(bytes_max, memory_s),
+            AnswerCache(bytes_max, memory_s),
             settings.number("claims.wait_s"),
         )
-        ticket_answers = KeptAnswers(bytes_max, ticket_s * TICKET_MEMORY_FACTOR)
-        tickets = TicketOffice(self.incarnation, ticket_s, ticket_answers)
+        ticket_answers = AnswerCache(bytes_max, ticket_s * TICKET_MEMORY_FACTOR)
+        tickets = TicketIssuer(self.incarnation, ticket_s, ticket_answers)
         caller = ServiceCaller(settings, self.pools)
         self.services = ServiceRoutes(settings, self.pools, caller, keyed, tickets, self.hosts)
         host = settings.text("host.address")
--- a/libs/daemon/ruddersaddle/keyed_calls.py
+++ b/libs/daemon/ruddersaddle/keyed_calls.py
@@ -17,7 +17,7 @@
 from ruddersaddle_state.followers import Follower
 from ruddersaddle_state.records import Claim, Outcome, RecordResult, Void
 
-from ruddersaddle.answers import Answer, KeptAnswers
+from ruddersaddle.answers import Answer, AnswerCache
 from ruddersaddle.messages import AnswerReply, AnswerRequest, ServiceCall
 
 logger = logging.getLogger(__name__)
@@ -56,7 +56,7 @@
         incarnation: Incarnation,
         follower: Follower,
         appender: Appender,
-        answers: KeptAnswers,
+        answers: AnswerCache,
         wait_s: float,
     ) -> None:
         self.incarnation = incarnation
--- a/libs/daemon/ruddersaddle/service_routes.py
+++ b/libs/daemon/ruddersaddle/service_routes.py
@@ -35,7 +35,7 @@
 from ruddersaddle.pools import Pools, PoolView
 from ruddersaddle.responses import Responder
 from ruddersaddle.service_calls import ServiceCaller
-from ruddersaddle.tickets import TicketOffice, is_ticket, parse_ticket
+from ruddersaddle.tickets import TicketIssuer, is_ticket, parse_ticket
 
 logger = logging.getLogger(__name__)
 
@@ -60,7 +60,7 @@
         pools: Pools,
         caller: ServiceCaller,
         keyed: KeyedCalls,
-        tickets: TicketOffice,
+        tickets: TicketIssuer,
         hosts: HostList,
     ) -> None:
         self.settings = settings
@@ -109,7 +109,7 @@
         if view.pool.is_repeatable(environ["PATH_INFO"]):
             return self._in_slot(view, workspace, limits, self.caller.dispatch, call)
         answer = self._run_once(environ, view, workspace, call, limits)
-        self.counts.note(answer)
+        self.counts.record(answer)
         return answer
 
     def _in_slot(
--- a/libs/daemon/ruddersaddle/tickets.py
+++ b/libs/daemon/ruddersaddle/tickets.py
@@ -14,7 +14,7 @@
 from ruddersaddle_base.failures import Code, Failure, Ran, Step
 from ruddersaddle_base.ids import CallKey, Incarnation
 
-from ruddersaddle.answers import Answer, KeptAnswers
+from ruddersaddle.answers import Answer, AnswerCache
 from ruddersaddle.keyed_calls import Dispatch
 from ruddersaddle.messages import ServiceCall
 
@@ -22,7 +22,7 @@
 SEPARATOR = ":"
 SECRET_BYTES = 32
 SIGNATURE_LETTERS = 32
-PARTS = 5
+PART_COUNT = 5
 
 
 class Ticket(msgspec.Struct, frozen=True):
@@ -34,13 +34,13 @@
     signature: str
 
 
-class TicketOffice:
+class TicketIssuer:
     """Issues this process's tickets and runs the calls that come with them.
 
     Tickets are signed with a secret that dies with the process, so only used ones take memory.
     """
 
-    def __init__(self, incarnation: Incarnation, valid_s: float, answers: KeptAnswers) -> None:
+    def __init__(self, incarnation: Incarnation, valid_s: float, answers: AnswerCache) -> None:
         self.incarnation = incarnation
         self.valid_s = valid_s
         self.answers = answers
@@ -70,7 +70,7 @@
             return ticket
         signature = self._sign(workspace, f"{ticket.until:.0f}", ticket.nonce)
         if not hmac.compare_digest(ticket.signature, signature):
-            return _bad("the ticket is not of this workspace and process")
+            return _invalid_ticket("the ticket is not of this workspace and process")
         key = CallKey(text)
         if key in self.answers.by_key:
             answer = self.answers.join(key, call, call.seconds)
@@ -92,12 +92,12 @@
 def parse_ticket(text: str) -> Ticket | Failure:
     """Return what a ticket says, unverified."""
     parts = text.split(SEPARATOR)
-    if len(parts) != PARTS or not is_decimal_integer(parts[2]):
-        return _bad("not a ticket")
+    if len(parts) != PART_COUNT or not is_decimal_integer(parts[2]):
+        return _invalid_ticket("not a ticket")
     return Ticket(Incarnation(parts[1]), float(parts[2]), parts[3], parts[4])
 
 
-def _bad(detail: str) -> Failure:
+def _invalid_ticket(detail: str) -> Failure:
     return Failure(Code.BAD_REQUEST, Step.CLAIM, "caller", detail)
 
 
