--- a/libs/daemon/ruddersaddle/contexts.py
+++ b/libs/daemon/ruddersaddle/contexts.py
@@ -23,7 +23,7 @@
 
 logger = logging.getLogger(__name__)
 
-KEEPING_MAX = 64
+PENDING_SAVES_MAX = 64
 """Contexts that wait to be kept; more are dropped, since keeping is only a hint for later."""
 
 
@@ -38,15 +38,15 @@
     keep_failures: int = 0
 
 
-class Found(msgspec.Struct, frozen=True):
+class ContextLookup(msgspec.Struct, frozen=True):
     """Where a chain is kept and what that means for a choice."""
 
-    kept: StoredChain
+    chain: StoredChain
     store: StoreClient | None = None
     bytes_per_block: int = 0
 
 
-class KeptContexts:
+class ContextCache:
     """The contexts kept on store hosts, as this host uses them."""
 
     def __init__(self, settings: Settings) -> None:
@@ -56,7 +56,7 @@
         self.store_by_id: dict[StoreId, StoreClient] = {}
         self.counts = ContextCounts()
         self._fetch_by_target: dict[tuple[str, BlockKey], Signal] = {}
-        self._keeping = 0
+        self._pending_saves = 0
 
     def update(self, configuration: Configuration) -> None:
         """Take the newest published store hosts."""
@@ -65,15 +65,15 @@
             del self.store_by_id[gone]
         for store in wanted.values():
             known = self.store_by_id.get(store.id)
-            if known is None or not _is_same(known, store):
-                self.store_by_id[store.id] = self._client(store)
+            if known is None or not _is_unchanged(known, store):
+                self.store_by_id[store.id] = self._make_client(store)
 
-    def _client(self, store: Store) -> StoreClient:
+    def _make_client(self, store: Store) -> StoreClient:
         connect_s = self.settings.number("routing.connect_s")
         timeout_s = self.settings.number("contexts.timeout_s")
         return StoreClient(store.address, Link(store.link_bytes_s), connect_s, timeout_s)
 
-    def _home(self, keys: Sequence[BlockKey]) -> StoreClient | None:
+    def _select_store(self, keys: Sequence[BlockKey]) -> StoreClient | None:
         """Return the first choice of store host for a chain, or the next if its link is down."""
         for name in rank_names(keys[0], self.store_by_id):
             store = self.store_by_id[name]
@@ -81,26 +81,28 @@
                 return store
         return None
 
-    def find(self, keys: list[BlockKey]) -> Found:
+    def find(self, keys: list[BlockKey]) -> ContextLookup:
         """Return what is kept of a chain; finding nothing is no failure."""
         if not self.enabled or len(keys) < self.min_blocks:
-            return Found(StoredChain())
-        store = self._home(keys)
+            return ContextLookup(StoredChain())
+        store = self._select_store(keys)
         if store is None:
-            return Found(StoredChain())
+            return ContextLookup(StoredChain())
         count = store.find(keys)
         if isinstance(count, Failure):
             store.link.record_failure()
-            return Found(StoredChain())
+            return ContextLookup(StoredChain())
         if count.count == 0:
-            return Found(StoredChain(), store)
+            return ContextLookup(StoredChain(), store)
         self.counts.found += 1
         per_block = count.bytes // count.count
         per_block_s = per_block / max(1.0, store.link.rate_bytes_s)
-        kept = StoredChain(count.count, per_block_s, store.link.estimate_s(0))
-        return Found(kept, store, per_block)
+        chain = StoredChain(count.count, per_block_s, store.link.estimate_s(0))
+        return ContextLookup(chain, store, per_block)
 
-    def fetch(self, found: Found, engine: EngineClient, chain: list[BlockKey], cached: int) -> int:
+    def fetch(
+        self, found: ContextLookup, engine: EngineClient, chain: list[BlockKey], cached: int
+    ) -> int:
         """Move verified blocks of a chain from a store host into an engine; return how many.
 
         The first `cached` blocks are there already; the engine is told to hold on to them.
@@ -121,7 +123,9 @@
             signal.send(count)
         return count
 
-    def _fetch(self, found: Found, engine: EngineClient, chain: list[BlockKey], cached: int) -> int:
+    def _fetch(
+        self, found: ContextLookup, engine: EngineClient, chain: list[BlockKey], cached: int
+    ) -> int:
         store = found.store
         keys = chain[cached:]
         size = len(keys) * found.bytes_per_block
@@ -132,34 +136,34 @@
             self.counts.fetch_failures += 1
             return 0
         data = b"".join(frame.sealed for frame in frames)
-        taken = engine.import_blocks(data, chain[:cached])
-        if isinstance(taken, Failure):
+        imported = engine.import_blocks(data, chain[:cached])
+        if isinstance(imported, Failure):
             self.counts.fetch_failures += 1
             return 0
         store.link.useful_bytes += len(data)
         self.counts.fetched_blocks += len(frames)
         return len(frames)
 
-    def keep_later(self, engine: EngineClient, request: RequestId) -> None:
+    def save_in_background(self, engine: EngineClient, request: RequestId) -> None:
         """Keep a finished request's context in the background."""
-        if not self.enabled or not self.store_by_id or self._keeping >= KEEPING_MAX:
+        if not self.enabled or not self.store_by_id or self._pending_saves >= PENDING_SAVES_MAX:
             self.counts.keep_dropped += 1
             return
-        self._keeping += 1
-        eventlet.spawn(self._keep_counted, engine, request)
+        self._pending_saves += 1
+        eventlet.spawn(self._save_counted, engine, request)
 
-    def _keep_counted(self, engine: EngineClient, request: RequestId) -> None:
+    def _save_counted(self, engine: EngineClient, request: RequestId) -> None:
         try:
-            self.keep(engine, request)
+            self.save(engine, request)
         finally:
-            self._keeping -= 1
+            self._pending_saves -= 1
 
-    def keep(self, engine: EngineClient, request: RequestId) -> int:
+    def save(self, engine: EngineClient, request: RequestId) -> int:
         """Export what its store host lacks of a request's context; return how many blocks."""
         keys = engine.list_request_blocks(request)
         if isinstance(keys, Failure) or len(keys) < self.min_blocks:
             return 0
-        store = self._home(keys)
+        store = self._select_store(keys)
         count = store.find(keys) if store is not None else None
         if count is None or isinstance(count, Failure):
             self.counts.keep_failures += 1
@@ -184,6 +188,6 @@
         return len(keys)
 
 
-def _is_same(client: StoreClient, store: Store) -> bool:
+def _is_unchanged(client: StoreClient, store: Store) -> bool:
     same_rate = client.link.capacity_bytes_s == store.link_bytes_s
     return same_rate and client.address == store.address
--- a/libs/daemon/ruddersaddle/daemons.py
+++ b/libs/daemon/ruddersaddle/daemons.py
@@ -24,7 +24,7 @@
 from ruddersaddle_upstreams.host_lists import HostList
 
 from ruddersaddle.answers import AnswerCache
-from ruddersaddle.contexts import KeptContexts
+from ruddersaddle.contexts import ContextCache
 from ruddersaddle.gateways import Gateway, HostView
 from ruddersaddle.generations import Generator
 from ruddersaddle.keyed_calls import KeyedCalls
@@ -102,7 +102,7 @@
         timeout_s = settings.number("platform.timeout_s")
         self.hosts = HostList(settings.text("platform.host_list"), poll_s, timeout_s)
         self.pools = Pools(settings, self.hosts)
-        self.contexts = KeptContexts(settings)
+        self.contexts = ContextCache(settings)
         self.generator = Generator(self.contexts, self.configuration, self.histograms)
 
     def _build_services(self) -> None:
--- a/libs/daemon/ruddersaddle/generations.py
+++ b/libs/daemon/ruddersaddle/generations.py
@@ -17,7 +17,7 @@
 from ruddersaddle_upstreams.engines import EngineClient, EngineRequest, TokenStream
 
 from ruddersaddle.callers import PromptRequest
-from ruddersaddle.contexts import Found, KeptContexts
+from ruddersaddle.contexts import ContextCache, ContextLookup
 from ruddersaddle.pools import PoolView, Slot
 
 logger = logging.getLogger(__name__)
@@ -56,7 +56,7 @@
     """Starts generations on the engines of a pool."""
 
     def __init__(
-        self, contexts: KeptContexts, configuration: Configuration, histograms: Histograms
+        self, contexts: ContextCache, configuration: Configuration, histograms: Histograms
     ) -> None:
         self.contexts = contexts
         self.configuration = configuration
@@ -163,8 +163,8 @@
     def _open_best(self) -> Failure | None:
         homes = self.view.homes_by_template.get(self.request.body.template, ())
         prompt = Prompt(count_tokens(self.request.text), homes, self.keys_of)
-        found = self._find_kept()
-        choice = self._choose(prompt, found.kept)
+        found = self._find_stored()
+        choice = self._choose(prompt, found.chain)
         if choice is None:
             return self._no_engine()
         load = choice.load
@@ -198,7 +198,7 @@
             self.version = ""
             self._tried.discard(load.address)
 
-    def _find_kept(self) -> Found:
+    def _find_stored(self) -> ContextLookup:
         version = self.version or self._likely_version()
         return self.generator.contexts.find(self.keys_of(version))
 
@@ -207,7 +207,7 @@
         versions = [load.version for load in self.view.loads() if load.version]
         return wanted if wanted in versions or not versions else versions[0]
 
-    def _choose(self, prompt: Prompt, kept: StoredChain) -> Choice | None:
+    def _choose(self, prompt: Prompt, stored: StoredChain) -> Choice | None:
         """Choose among the engines of one weight version, waiting while all are at their limit."""
         began = time.monotonic()
         while time.monotonic() < self._deadline:
@@ -216,7 +216,7 @@
             if not able:
                 return None
             fresh = [load for load in able if load.address not in self._tried]
-            choice = self.view.chooser.choose(fresh or able, prompt, kept)
+            choice = self.view.chooser.choose(fresh or able, prompt, stored)
             if choice is not None:
                 return choice
             waited_s = time.monotonic() - began
@@ -226,7 +226,7 @@
             eventlet.sleep(BUSY_PAUSE_S)
         return None
 
-    def _fetch(self, choice: Choice, found: Found, engine: EngineClient) -> None:
+    def _fetch(self, choice: Choice, found: ContextLookup, engine: EngineClient) -> None:
         keys = self.keys_of(self.version)[: choice.fetch_until]
         if found.store is None or choice.fetch_until <= choice.cached_blocks:
             return
@@ -352,4 +352,4 @@
             self._record(Measure.TOTAL, time.monotonic() - self._began)
             engine = self.view.engine_by_address.get(choice.load.address)
             if engine is not None:
-                self.generator.contexts.keep_later(engine, self.request.id)
+                self.generator.contexts.save_in_background(engine, self.request.id)
--- a/libs/daemon/ruddersaddle/prefetches.py
+++ b/libs/daemon/ruddersaddle/prefetches.py
@@ -16,7 +16,7 @@
 from ruddersaddle_upstreams.engines import EngineRequest
 from ruddersaddle_upstreams.host_lists import HostList
 
-from ruddersaddle.contexts import KeptContexts
+from ruddersaddle.contexts import ContextCache
 from ruddersaddle.pools import Pools, PoolView
 
 logger = logging.getLogger(__name__)
@@ -39,7 +39,7 @@
         configuration: Configuration,
         hosts: HostList,
         pools: Pools,
-        contexts: KeptContexts,
+        contexts: ContextCache,
     ) -> None:
         self.host = HostId(settings.text("host.id"))
         self.lead_s = settings.number("contexts.prefetch_s")
@@ -94,8 +94,8 @@
         keys = block_keys(salt, text)
         engine = view.engine_by_address[load.address]
         found = self.contexts.find(keys)
-        if found.store is not None and found.kept.blocks:
-            self.contexts.fetch(found, engine, keys[: found.kept.blocks], 0)
+        if found.store is not None and found.chain.blocks:
+            self.contexts.fetch(found, engine, keys[: found.chain.blocks], 0)
         request = EngineRequest(
             id=new_request_id(),
             model=event.model,
@@ -117,7 +117,7 @@
         stream.finish()
         self.prepared += 1
         logger.info("Event %s is prepared on %s.", event.id, load.upstream)
-        self.contexts.keep(engine, request.id)
+        self.contexts.save(engine, request.id)
 
 
 def shared_prefix(template: Template, event: Event) -> str:
