--- a/libs/daemon/ruddersaddle/generations.py
+++ b/libs/daemon/ruddersaddle/generations.py
@@ -22,7 +22,7 @@
 
 logger = logging.getLogger(__name__)
 
-TRIES_MAX = 4
+ATTEMPTS_MAX = 4
 """Tries to start a stream, first try included; a resume starts the count again."""
 RESUMES_MAX = 4
 """Resumes of one request."""
@@ -73,7 +73,7 @@
             return slot
         view.budget.record_first()
         generation = Generation(self, request, view, slot)
-        generation.expected = view.note_granted(cost)
+        generation.expected_tokens = view.record_granted(cost)
         try:
             failure = generation.begin()
         except BaseException:
@@ -86,7 +86,7 @@
         self.counts.started += 1
         return generation
 
-    def version_of(self, model: str) -> str:
+    def published_version(self, model: str) -> str:
         """Return the weight version in force."""
         found = self.configuration.get(Model, model)
         return found.version if isinstance(found, Model) else ""
@@ -103,9 +103,9 @@
         self.view = view
         self.slot = slot
         self.version = ""
-        self.expected = 0.0
+        self.expected_tokens = 0.0
         self.tokens = 0
-        self.tries = 0
+        self.attempts = 0
         self.choice: Choice | None = None
         self.stream: TokenStream | None = None
         self._began = time.monotonic()
@@ -114,8 +114,8 @@
         self._deadline = request.limits.deadline
         self._version_changes = 0
         self._keys_by_version: dict[str, list[BlockKey]] = {}
-        self._tried: set[str] = set()
-        self._slow = False
+        self._attempted: set[str] = set()
+        self._was_slow = False
         self._sent: SentRequest | None = None
 
     def keys_of(self, version: str) -> list[BlockKey]:
@@ -133,17 +133,17 @@
 
     def begin(self) -> Failure | None:
         """Open a stream on the best engine; try others while that is sure not to repeat work."""
-        failure = self._no_engine()
-        while self.tries < TRIES_MAX and time.monotonic() < self._deadline:
+        failure = self._no_engine_failure()
+        while self.attempts < ATTEMPTS_MAX and time.monotonic() < self._deadline:
             opened = self._open_best()
             if not isinstance(opened, Failure):
                 return None
             failure = opened
-            if not self._may_try_again(opened):
+            if not self._may_retry(opened):
                 return failure
         return failure
 
-    def _may_try_again(self, failure: Failure) -> bool:
+    def _may_retry(self, failure: Failure) -> bool:
         """Return whether another engine may be tried; only tries that cost an engine are counted.
 
         A connection that was never made, and an engine that has changed its weights, cost nothing.
@@ -151,12 +151,12 @@
         if failure.code is Code.OTHER_VERSION:
             self._version_changes += 1
             return self._version_changes <= VERSION_CHANGES_MAX
-        self.tries += 1
+        self.attempts += 1
         if failure.code is Code.NO_UPSTREAM:
             return False
         return failure.step is Step.CONNECT or self.view.budget.try_spend()
 
-    def _no_engine(self) -> Failure:
+    def _no_engine_failure(self) -> Failure:
         detail = "no engine is open"
         return Failure(Code.NO_UPSTREAM, Step.CONNECT, self.view.pool.id, detail, retry_after_s=1.0)
 
@@ -166,44 +166,44 @@
         found = self._find_stored()
         choice = self._choose(prompt, found.chain)
         if choice is None:
-            return self._no_engine()
+            return self._no_engine_failure()
         load = choice.load
         self.choice = choice
         self.version = self.version or load.version
-        self._tried.add(load.address)
+        self._attempted.add(load.address)
         load.limit.begin()
         load.circuit.begin()
-        self._note_sent(choice.missing_tokens, prompt.tokens)
+        self._record_sent(choice.missing_tokens, prompt.tokens)
         self._sent = load.record_sent(choice.missing_tokens, self.keys_of(self.version))
         engine = self.view.engine_by_address[load.address]
         self._fetch(choice, found, engine)
         opened = engine.generate(self._engine_request())
         if isinstance(opened, Failure):
-            self._end_try(opened)
-            self._learn_version(load, opened)
+            self._end_attempt(opened)
+            self._apply_engine_version(load, opened)
             return opened
         self.stream = opened
         return None
 
-    def _note_sent(self, missing: int, tokens: int) -> None:
-        self.view.note_sent(self.expected, missing, tokens)
-        self.expected = 0.0
+    def _record_sent(self, missing: int, tokens: int) -> None:
+        self.view.record_sent(self.expected_tokens, missing, tokens)
+        self.expected_tokens = 0.0
 
-    def _learn_version(self, load: Load, failure: Failure) -> None:
+    def _apply_engine_version(self, load: Load, failure: Failure) -> None:
         """Take an engine's word for its weight version, which its lagged report does not have."""
         if failure.code is not Code.OTHER_VERSION:
             return
         load.record_version(failure.detail)
         if self.tokens == 0:
             self.version = ""
-            self._tried.discard(load.address)
+            self._attempted.discard(load.address)
 
     def _find_stored(self) -> ContextLookup:
         version = self.version or self._likely_version()
         return self.generator.contexts.find(self.keys_of(version))
 
     def _likely_version(self) -> str:
-        wanted = self.generator.version_of(self.request.body.model)
+        wanted = self.generator.published_version(self.request.body.model)
         versions = [load.version for load in self.view.loads() if load.version]
         return wanted if wanted in versions or not versions else versions[0]
 
@@ -215,7 +215,7 @@
             able = [load for load in self.view.loads() if load.version in (version, "")]
             if not able:
                 return None
-            fresh = [load for load in able if load.address not in self._tried]
+            fresh = [load for load in able if load.address not in self._attempted]
             choice = self.view.chooser.choose(fresh or able, prompt, stored)
             if choice is not None:
                 return choice
@@ -269,10 +269,10 @@
             if not data:
                 self.generator.counts.finished += 1
                 return
-            self._note_events()
+            self._record_events()
             yield data
 
-    def _note_events(self) -> None:
+    def _record_events(self) -> None:
         now = time.monotonic()
         added = self.stream.next_token - self.tokens
         first = self.tokens == 0
@@ -280,12 +280,12 @@
         measure = Measure.FIRST_TOKEN if first else Measure.BETWEEN_TOKENS
         elapsed_s = (now - self._last_event) / max(1, added)
         self._last_event = now
-        self._record(measure, elapsed_s)
+        self._record_latency(measure, elapsed_s)
         self._sent.finish()
         if first:
-            self._judge_first(elapsed_s)
+            self._check_first_token(elapsed_s)
 
-    def _judge_first(self, elapsed_s: float) -> None:
+    def _check_first_token(self, elapsed_s: float) -> None:
         logger.debug(
             "First token of %s after %.0f ms, predicted %.0f ms. Cached %d, fetched to %d.",
             self.request.id,
@@ -295,9 +295,9 @@
             self.choice.fetch_until,
         )
         expected_s = max(SLOW_FLOOR_S, self.choice.predicted_s * SLOW_FACTOR)
-        self._slow = elapsed_s > expected_s
+        self._was_slow = elapsed_s > expected_s
 
-    def _record(self, measure: Measure, elapsed_s: float) -> None:
+    def _record_latency(self, measure: Measure, elapsed_s: float) -> None:
         workspace = self.request.workspace.id
         group = self.request.limits.group
         self.generator.histograms.record(measure, workspace, group, elapsed_s * MS_PER_S)
@@ -305,11 +305,11 @@
     def _resume(self, failure: Failure) -> Failure | None:
         """Go on from the last token delivered, on another engine of the same weight version."""
         self._close_stream()
-        self._end_try(failure)
+        self._end_attempt(failure)
         self.resumes += 1
         if self.resumes > RESUMES_MAX:
             return failure
-        self.tries = 0
+        self.attempts = 0
         self._deadline = max(self._deadline, time.monotonic() + RESUME_S)
         logger.info(
             "Stream of %s is resumed at token %d.",
@@ -323,7 +323,7 @@
             return None
         return again.with_ran(Ran.UNKNOWN)
 
-    def _end_try(self, failure: Failure | None) -> None:
+    def _end_attempt(self, failure: Failure | None) -> None:
         if self.choice is None:
             return
         load = self.choice.load
@@ -331,7 +331,7 @@
         harmless = (Code.OVERLOADED, Code.OTHER_VERSION)
         overloaded = failure is not None and failure.code is Code.OVERLOADED
         failed = failure is not None and failure.code not in harmless
-        load.limit.end(overloaded or self._slow)
+        load.limit.end(overloaded or self._was_slow)
         load.circuit.end(failed)
         self.choice = None
 
@@ -342,14 +342,14 @@
 
     def finish(self) -> None:
         """End the request: give back what it holds, and keep its context for later."""
-        whole = self.stream is not None and self.stream.done
+        complete = self.stream is not None and self.stream.done
         choice = self.choice
-        self.view.unsent_tokens -= self.expected
+        self.view.unsent_tokens -= self.expected_tokens
         self._close_stream()
-        self._end_try(None)
+        self._end_attempt(None)
         self.slot.release()
-        if whole and choice is not None:
-            self._record(Measure.TOTAL, time.monotonic() - self._began)
+        if complete and choice is not None:
+            self._record_latency(Measure.TOTAL, time.monotonic() - self._began)
             engine = self.view.engine_by_address.get(choice.load.address)
             if engine is not None:
                 self.generator.contexts.save_in_background(engine, self.request.id)
--- a/libs/daemon/ruddersaddle/pools.py
+++ b/libs/daemon/ruddersaddle/pools.py
@@ -65,15 +65,15 @@
         waiting = sum(load.waiting_tokens(hosts) for load in usable)
         return waiting + self.unsent_tokens < self.backlog_max_s * speed
 
-    def note_granted(self, tokens: int) -> float:
+    def record_granted(self, tokens: int) -> float:
         """Count a request that has its slot and is not sent yet; return what was counted."""
-        expected = tokens * self.missing_share
-        self.unsent_tokens += expected
-        return expected
+        expected_tokens = tokens * self.missing_share
+        self.unsent_tokens += expected_tokens
+        return expected_tokens
 
-    def note_sent(self, expected: float, missing: int, tokens: int) -> None:
+    def record_sent(self, expected_tokens: float, missing: int, tokens: int) -> None:
         """Take a request that is sent now off again, and learn how much was missing."""
-        self.unsent_tokens = max(0.0, self.unsent_tokens - expected)
+        self.unsent_tokens = max(0.0, self.unsent_tokens - expected_tokens)
         share = missing / max(1, tokens)
         self.missing_share += MISSING_SMOOTHING * (share - self.missing_share)
 
--- a/libs/daemon/ruddersaddle/service_calls.py
+++ b/libs/daemon/ruddersaddle/service_calls.py
@@ -41,25 +41,27 @@
             return _none_open(call.pool)
         view.budget.record_first()
         answer: Answer = _none_open(call.pool)
-        tried: set[str] = set()
+        attempted: set[str] = set()
         while True:
-            load = self._next(view, tried)
+            load = self._select_load(view, attempted)
             if load is None:
                 return answer
-            if tried and not view.budget.try_spend():
+            if attempted and not view.budget.try_spend():
                 return answer
-            tried.add(load.address)
+            attempted.add(load.address)
             answer = self._call(load, call)
-            if not _may_try_again(answer, repeatable):
+            if not _may_retry(answer, repeatable):
                 return answer
 
-    def _next(self, view: PoolView, tried: set[str]) -> Load | None:
-        untried = [load for load in view.loads() if load.address not in tried and load.is_open]
-        if not untried:
+    def _select_load(self, view: PoolView, attempted: set[str]) -> Load | None:
+        candidates = [
+            load for load in view.loads() if load.address not in attempted and load.is_open
+        ]
+        if not candidates:
             return None
-        start = next(self._turn) % len(untried)
-        turned = untried[start:] + untried[:start]
-        return min(turned, key=lambda load: load.limit.in_flight)
+        start = next(self._turn) % len(candidates)
+        rotated = candidates[start:] + candidates[:start]
+        return min(rotated, key=lambda load: load.limit.in_flight)
 
     def _call(self, load: Load, call: ServiceCall) -> Answer:
         load.limit.begin()
@@ -72,7 +74,7 @@
         return answer
 
 
-def _may_try_again(answer: Answer, repeatable: bool) -> bool:
+def _may_retry(answer: Answer, repeatable: bool) -> bool:
     if isinstance(answer, Reply):
         return repeatable and answer.status > SERVER_ERROR
     return repeatable or answer.ran is Ran.NOT_RUN
