--- a/libs/daemon/ruddersaddle/generations.py
+++ b/libs/daemon/ruddersaddle/generations.py
@@ -67,7 +67,7 @@
         """Wait for a slot and start a generation; its first events have not been read yet."""
         cost = count_tokens(request.text)
         limits = request.limits
-        slot = view.enter(request.workspace, cost, limits.remaining_s(), limits.urgency)
+        slot = view.acquire_slot(request.workspace, cost, limits.remaining_s(), limits.urgency)
         if isinstance(slot, Failure):
             self.counts.refused += 1
             return slot
--- a/libs/daemon/ruddersaddle/pools.py
+++ b/libs/daemon/ruddersaddle/pools.py
@@ -89,19 +89,19 @@
             del self.load_by_address[address]
             self.engine_by_address.pop(address, None)
         for address in set(wanted) - set(self.load_by_address):
-            self._add(wanted[address])
+            self._add_upstream(wanted[address])
         for load in self.loads():
             load.leaving = hosts.is_leaving(load.address)
         self.chooser.hosts = max(1, len(hosts.entries()))
 
-    def place_events(self, events: list[Event]) -> None:
+    def assign_event_homes(self, events: list[Event]) -> None:
         """Work out on which engines the templates of marked events are at home."""
         own = [event for event in events if event.model == self.pool.model]
         copies = {event.template: event.copies for event in own}
         upstreams = [load.upstream for load in self.loads() if not load.leaving]
         self.homes_by_template = assign_homes(copies, upstreams)
 
-    def _add(self, upstream: Upstream) -> None:
+    def _add_upstream(self, upstream: Upstream) -> None:
         settings = self.settings
         start = settings.integer("routing.limit_start")
         limit = AdaptiveLimit(start, settings.integer("routing.limit_max"))
@@ -110,9 +110,9 @@
         load = Load(upstream.id, upstream.address, upstream.hall, limit, circuit)
         self.load_by_address[upstream.address] = load
         if self.pool.kind is PoolKind.ENGINE:
-            self._watch(load)
+            self._start_polling(load)
 
-    def _watch(self, load: Load) -> None:
+    def _start_polling(self, load: Load) -> None:
         connect_s = self.settings.number("routing.connect_s")
         control = EngineClient(load.address, connect_s, CONTROL_READ_S)
         read_s = self.settings.number("routing.read_s")
@@ -155,7 +155,7 @@
         load.cached.update(listing.keys)
         return listing.epoch, listing.next
 
-    def enter(
+    def acquire_slot(
         self, workspace: Workspace, cost: float, remaining_s: float, urgency: float = 1.0
     ) -> "Slot | Failure":
         """Wait for a slot in fair turn; refuse at once what can't be in time."""
@@ -208,11 +208,11 @@
         for pool in wanted.values():
             if pool.id not in self.by_id:
                 self.by_id[pool.id] = PoolView(pool, self.settings)
-                eventlet.spawn(self._wake, self.by_id[pool.id])
+                eventlet.spawn(self._run_wakeups, self.by_id[pool.id])
             self.by_id[pool.id].update(pool, self.hosts)
-            self.by_id[pool.id].place_events(configuration.values(Event))
+            self.by_id[pool.id].assign_event_homes(configuration.values(Event))
 
-    def _wake(self, view: PoolView) -> None:
+    def _run_wakeups(self, view: PoolView) -> None:
         """Let waiting requests go as loads, circuits and limits change."""
         while self.by_id.get(view.pool.id) is view:
             view.queue.wake()
--- a/libs/daemon/ruddersaddle/service_routes.py
+++ b/libs/daemon/ruddersaddle/service_routes.py
@@ -96,7 +96,7 @@
         answer = self._run(environ, view, workspace, call, limits)
         if isinstance(answer, Failure):
             return responder.send_failure(answer)
-        return _pass_reply(answer, responder)
+        return _forward_reply(answer, responder)
 
     def _run(
         self,
@@ -107,12 +107,12 @@
         limits: Limits,
     ) -> Answer:
         if view.pool.is_repeatable(environ["PATH_INFO"]):
-            return self._in_slot(view, workspace, limits, self.caller.dispatch, call)
+            return self._dispatch_in_slot(view, workspace, limits, self.caller.dispatch, call)
         answer = self._run_once(environ, view, workspace, call, limits)
         self.counts.record(answer)
         return answer
 
-    def _in_slot(
+    def _dispatch_in_slot(
         self,
         view: PoolView,
         workspace: Workspace,
@@ -120,7 +120,7 @@
         dispatch: Callable[[ServiceCall], Answer],
         call: ServiceCall,
     ) -> Answer:
-        slot = view.enter(workspace, CALL_COST, limits.remaining_s())
+        slot = view.acquire_slot(workspace, CALL_COST, limits.remaining_s())
         if isinstance(slot, Failure):
             return slot
         try:
@@ -147,7 +147,7 @@
             return token.with_ran(Ran.UNKNOWN)
         name = CallKey(f"{workspace.id}/{key.key}")
         keyed = KeyedCall(name, key.dated, token, call, limits.deadline)
-        slot = view.enter(workspace, CALL_COST, limits.remaining_s())
+        slot = view.acquire_slot(workspace, CALL_COST, limits.remaining_s())
         if isinstance(slot, Failure):
             return self.keyed.refuse(keyed, slot)
         try:
@@ -244,7 +244,7 @@
     return ServiceCall(responder.request, view.pool.id, method, path, pairs, body, seconds)
 
 
-def _pass_reply(reply: Reply, responder: Responder) -> Iterable[bytes]:
+def _forward_reply(reply: Reply, responder: Responder) -> Iterable[bytes]:
     passed = [(name, value) for name, value in reply.headers if is_forwarded(name)]
     kept = [pair for pair in passed if pair[0].lower() not in ("content-type", "request-id")]
     by_name = {name.lower(): value for name, value in reply.headers}
