--- a/libs/daemon/ruddersaddle/daemons.py
+++ b/libs/daemon/ruddersaddle/daemons.py
@@ -275,7 +275,7 @@
             configuration_digest=self.configuration.digest(),
             claims_position=claims.position,
             claims_keys=len(claims.by_key),
-            leases_held=self.orders.held(),
+            leases_held=self.orders.held_pools(),
             log_reachable=self.configuration_follower.reachable,
             log_takes_appends=not any(each.failing_since for each in appenders),
             appends=sum(each.appends for each in appenders),
--- a/libs/daemon/ruddersaddle/orders.py
+++ b/libs/daemon/ruddersaddle/orders.py
@@ -24,11 +24,11 @@
 
 logger = logging.getLogger(__name__)
 
-STEP_S = 0.5
+CHECK_INTERVAL_S = 0.5
 """Pause between looks at what there is to order, in seconds."""
-LOADS_AT_ONCE = 2
+CONCURRENT_LOADS_MAX = 2
 """Engines that load weights at the same time; more of them slow each other."""
-ORDER_S = 10.0
+ORDER_TIMEOUT_S = 10.0
 RENEW_SHARE = 0.5
 """A lease is renewed once this share of it has passed."""
 
@@ -61,7 +61,7 @@
         self.follower = follower
         self.appender = appender
         self.counts = OrderCounts()
-        self._own_until: dict[PoolId, float] = {}
+        self._lease_until: dict[PoolId, float] = {}
         self._held_since: dict[PoolId, float] = {}
         self._ordered_at: dict[str, float] = {}
 
@@ -70,7 +70,7 @@
         """The folded leases."""
         return self.follower.fold
 
-    def held(self) -> list[PoolId]:
+    def held_pools(self) -> list[PoolId]:
         """Return the pools whose lease this process holds, as far as it knows."""
         by_pool = self.leases.by_pool.items()
         return [pool for pool, lease in by_pool if lease.holder == self.incarnation]
@@ -83,38 +83,38 @@
         while True:
             for view in list(self.pools.by_id.values()):
                 if view.pool.kind is PoolKind.ENGINE:
-                    self._look_after(view)
-            eventlet.sleep(STEP_S)
+                    self._update_engines(view)
+            eventlet.sleep(CHECK_INTERVAL_S)
 
-    def _look_after(self, view: PoolView) -> None:
+    def _update_engines(self, view: PoolView) -> None:
         model = self.configuration.get(Model, view.pool.model)
-        if not isinstance(model, Model) or not self._behind(view, model):
-            self._let_go(view.pool.id)
+        if not isinstance(model, Model) or not self._outdated_engines(view, model):
+            self._release_lease(view.pool.id)
             return
-        fence = self._hold(view.pool.id)
+        fence = self._acquire_lease(view.pool.id)
         if fence is not None:
-            self._order_some(view, model, fence)
+            self._send_orders(view, model, fence)
 
-    def _behind(self, view: PoolView, model: Model) -> list[str]:
+    def _outdated_engines(self, view: PoolView, model: Model) -> list[str]:
         """Return the addresses of the engines that report another weight version."""
         loads = [load for load in view.loads() if not load.leaving]
         return [load.address for load in loads if load.version not in ("", model.version)]
 
-    def _surely_behind(self, view: PoolView, model: Model) -> list[str]:
+    def _confirmed_outdated_engines(self, view: PoolView, model: Model) -> list[str]:
         """Return those behind by a report that was measured since we took the lease.
 
         An older report may be from before an order of the last holder, and would load twice.
         """
         since = self._held_since[view.pool.id]
-        behind = self._behind(view, model)
-        return [at for at in behind if view.load_by_address[at].measured_at >= since]
+        outdated = self._outdated_engines(view, model)
+        return [at for at in outdated if view.load_by_address[at].measured_at >= since]
 
-    def _hold(self, pool: PoolId) -> Position | None:
+    def _acquire_lease(self, pool: PoolId) -> Position | None:
         """Return the fence of our lease, taking or renewing it; None while another holds it."""
         length_s = self.settings.number("leases.length_s")
         lease = self.leases.by_pool.get(pool)
         own = lease is not None and lease.holder == self.incarnation
-        until = self._own_until.get(pool, 0.0)
+        until = self._lease_until.get(pool, 0.0)
         if own and time.monotonic() < until - length_s * RENEW_SHARE:
             return lease.fence
         if lease is not None and not own and time.time() <= lease.until + self.leases.margin_s:
@@ -123,37 +123,37 @@
         grant = Grant(new_record_id(), pool, self.incarnation, length_s)
         self.follower.expect(grant.id)
         self.appender.post(grant, self.follower.cancel_wait)
-        fate = self.follower.wait(grant.id, length_s)
+        result = self.follower.wait(grant.id, length_s)
         self.follower.forget(grant.id)
-        if fate is None or fate.outcome is not Outcome.ACCEPTED:
+        if result is None or result.outcome is not Outcome.ACCEPTED:
             return None
         if not own or pool not in self._held_since:
             self._held_since[pool] = time.monotonic()
         # Our own end of the lease counts from before the append, so it is never late.
-        self._own_until[pool] = began + length_s
-        return fate.position
+        self._lease_until[pool] = began + length_s
+        return result.position
 
-    def _let_go(self, pool: PoolId) -> None:
+    def _release_lease(self, pool: PoolId) -> None:
         if self._ordered_at:
             return
-        if self._own_until.pop(pool, None) is not None:
+        if self._lease_until.pop(pool, None) is not None:
             self.appender.post(Release(new_record_id(), pool, self.incarnation))
 
-    def _order_some(self, view: PoolView, model: Model, fence: Position) -> None:
+    def _send_orders(self, view: PoolView, model: Model, fence: Position) -> None:
         now = time.monotonic()
-        loading = [at for at in self._ordered_at.values() if now - at < ORDER_S]
-        for address in self._surely_behind(view, model):
-            if len(loading) >= LOADS_AT_ONCE:
+        loading = [at for at in self._ordered_at.values() if now - at < ORDER_TIMEOUT_S]
+        for address in self._confirmed_outdated_engines(view, model):
+            if len(loading) >= CONCURRENT_LOADS_MAX:
                 return
-            if now - self._ordered_at.get(address, -ORDER_S) < ORDER_S:
+            if now - self._ordered_at.get(address, -ORDER_TIMEOUT_S) < ORDER_TIMEOUT_S:
                 continue
             loading.append(now)
             self._ordered_at[address] = now
-            eventlet.spawn(self._order, view, address, Order(model.id, model.version, fence))
+            eventlet.spawn(self._send_order, view, address, Order(model.id, model.version, fence))
 
-    def _order(self, view: PoolView, address: str, order: Order) -> None:
+    def _send_order(self, view: PoolView, address: str, order: Order) -> None:
         """Give one order, if the lease is still ours as of the end of its stream."""
-        if not view.pool.checks_fences and not self._still_holds(view.pool.id, order.fence):
+        if not view.pool.checks_fences and not self._still_holds_lease(view.pool.id, order.fence):
             self.counts.withheld += 1
             self._ordered_at.pop(address, None)
             return
@@ -170,9 +170,9 @@
             self.counts.refused += 1
             logger.warning("Engine %s refused a stale fence.", address)
 
-    def _still_holds(self, pool: PoolId, fence: Position) -> bool:
+    def _still_holds_lease(self, pool: PoolId, fence: Position) -> bool:
         if not self.follower.read_to_end():
             return False
         lease = self.leases.by_pool.get(pool)
-        in_time = time.monotonic() < self._own_until.get(pool, 0.0)
+        in_time = time.monotonic() < self._lease_until.get(pool, 0.0)
         return in_time and lease is not None and lease.fence == fence
