--- a/libs/daemon/ruddersaddle/daemons.py
+++ b/libs/daemon/ruddersaddle/daemons.py
@@ -25,7 +25,7 @@
 
 from ruddersaddle.answers import AnswerCache
 from ruddersaddle.contexts import ContextCache
-from ruddersaddle.gateways import Gateway, HostView
+from ruddersaddle.gateways import Gateway, HostControl
 from ruddersaddle.generations import Generator
 from ruddersaddle.keyed_calls import KeyedCalls
 from ruddersaddle.messages import ConfigurationReply, ConfigurationRequest, Message
@@ -41,12 +41,12 @@
 
 logger = logging.getLogger(__name__)
 
-UPDATE_S = 0.25
+UPDATE_INTERVAL_S = 0.25
 """Pause between looks at new configuration and hosts, in seconds."""
-STOP_STEP_S = 0.05
-PEER_ASK_S = 1.0
-PEERS_ASKED = 3
-BACKLOG = 1024
+STOP_POLL_S = 0.05
+PEER_TIMEOUT_S = 1.0
+PEERS_ASKED_MAX = 3
+LISTEN_BACKLOG = 1024
 TICKET_MEMORY_FACTOR = 4
 
 
@@ -66,7 +66,7 @@
         self.incarnation = incarnation
         self.stopping = False
         self.updated = False
-        self._seen = (START, -1)
+        self._applied_versions = (START, -1)
         self.histograms = Histograms()
         self.configuration = Configuration()
         self._build_log()
@@ -90,9 +90,9 @@
         self.configuration_follower = Follower(client, Stream.CONFIGURATION, self.configuration)
         self.claims_follower = Follower(client, Stream.CLAIMS, claims)
         self.leases_follower = Follower(client, Stream.LEASES, leases)
-        gathers = settings.flag("claims.gather")
+        batching = settings.flag("claims.gather")
         self.appender_by_stream = {
-            stream: Appender(client, stream, gathers or stream is not Stream.CLAIMS)
+            stream: Appender(client, stream, batching or stream is not Stream.CLAIMS)
             for stream in Stream
         }
 
@@ -123,7 +123,7 @@
         self.services = ServiceRoutes(settings, self.pools, caller, keyed, tickets, self.hosts)
         host = settings.text("host.address")
         self.peers = Peers(
-            f"{host}:{settings.integer('host.peer_port')}", self._answer_peer, Message
+            f"{host}:{settings.integer('host.peer_port')}", self._handle_peer_message, Message
         )
         self.services.peers = self.peers
 
@@ -144,7 +144,7 @@
         )
 
     def _build_gateway(self) -> Gateway:
-        view = HostView(self.is_ready, self.is_stopping, self.stop, self.status, self.stats)
+        view = HostControl(self.is_ready, self.is_stopping, self.stop, self.status, self.stats)
         return Gateway(
             self.settings, self.configuration, self.pools, self.generator, self.services, view
         )
@@ -159,11 +159,11 @@
         signal.signal(signal.SIGTERM, lambda *_: self.stop())
         signal.signal(signal.SIGINT, lambda *_: self.stop())
         address = (self.settings.text("host.address"), self.settings.integer("host.port"))
-        listener = eventlet.listen(address, backlog=BACKLOG, reuse_port=False)
+        listener = eventlet.listen(address, backlog=LISTEN_BACKLOG, reuse_port=False)
         logger.info("Host %s listens on %s:%d.", self.incarnation, *address)
         server = eventlet.spawn(self._serve_wsgi, listener)
         while not self.stopping:
-            eventlet.sleep(STOP_STEP_S)
+            eventlet.sleep(STOP_POLL_S)
         self._finish_requests()
         server.kill()
         listener.close()
@@ -195,14 +195,14 @@
     def _run_updates(self) -> None:
         while True:
             if not self.configuration.complete:
-                self._ask_configuration()
-            seen = (self.configuration.position, self.hosts.version)
-            if seen != self._seen:
-                self._seen = seen
+                self._request_configuration()
+            versions = (self.configuration.position, self.hosts.version)
+            if versions != self._applied_versions:
+                self._applied_versions = versions
                 self._update()
             # Complete is not enough: callers would meet a host that has no pools yet.
             self.updated = self.configuration.complete
-            eventlet.sleep(UPDATE_S)
+            eventlet.sleep(UPDATE_INTERVAL_S)
 
     def _update(self) -> None:
         """Take a new configuration or host list."""
@@ -211,18 +211,18 @@
         listed = {row.peer_address for row in self.hosts.entries() if row.peer_address}
         self.peers.keep_only(listed)
 
-    def _ask_configuration(self) -> None:
+    def _request_configuration(self) -> None:
         """Take the state of the peer that is furthest on, while the log can't give it."""
         own = self.settings.text("host.id")
         others = [row for row in self.hosts.entries() if row.id != own and row.peer_address]
         random.shuffle(others)
-        for row in others[:PEERS_ASKED]:
-            answer = self.peers.ask(row.peer_address, ConfigurationRequest(), PEER_ASK_S)
+        for row in others[:PEERS_ASKED_MAX]:
+            answer = self.peers.ask(row.peer_address, ConfigurationRequest(), PEER_TIMEOUT_S)
             if isinstance(answer, ConfigurationReply) and answer.snapshot is not None:
-                taken = self.configuration.adopt(answer.snapshot)
-                logger.info("State of %s at %d, taken: %s.", row.id, answer.snapshot.upto, taken)
+                adopted = self.configuration.adopt(answer.snapshot)
+                logger.info("State of %s at %d, taken: %s.", row.id, answer.snapshot.upto, adopted)
 
-    def _answer_peer(self, message: Message) -> Message:
+    def _handle_peer_message(self, message: Message) -> Message:
         if isinstance(message, ConfigurationRequest):
             complete = self.configuration.complete
             return ConfigurationReply(self.configuration.snapshot() if complete else None)
@@ -247,7 +247,7 @@
         eventlet.sleep(self.settings.number("requests.stop_lag_s"))
         latest = began + self.settings.number("requests.stop_max_s")
         while self.gateway.active and time.monotonic() < latest:
-            eventlet.sleep(STOP_STEP_S)
+            eventlet.sleep(STOP_POLL_S)
 
     @property
     def phase(self) -> HostPhase:
--- a/libs/daemon/ruddersaddle/gateways.py
+++ b/libs/daemon/ruddersaddle/gateways.py
@@ -54,7 +54,7 @@
     object: str = "list"
 
 
-class HostView(msgspec.Struct):
+class HostControl(msgspec.Struct):
     """What the gateway has to know of its host."""
 
     is_ready: Callable[[], bool]
@@ -74,7 +74,7 @@
         pools: Pools,
         generator: Generator,
         services: ServiceRoutes,
-        host: HostView,
+        host: HostControl,
     ) -> None:
         self.settings = settings
         self.configuration = configuration
