--- a/libs/daemon/ruddersaddle/gateways.py
+++ b/libs/daemon/ruddersaddle/gateways.py
@@ -26,11 +26,11 @@
 )
 from ruddersaddle.generations import Generation, Generator
 from ruddersaddle.pools import Pools, PoolView
-from ruddersaddle.replies import WholeReply, join_events
+from ruddersaddle.replies import CompleteReply, join_events
 from ruddersaddle.reports import Accepted, Stats, Status, format_metrics
 from ruddersaddle.responses import TEXT_TYPE, Responder, encode_error_event
 from ruddersaddle.service_routes import ServiceRoutes
-from ruddersaddle.traces import WORKSPACE_NOTE
+from ruddersaddle.traces import WORKSPACE_KEY
 
 logger = logging.getLogger(__name__)
 
@@ -83,7 +83,7 @@
         self.services = services
         self.host = host
         self.active = 0
-        self.gather_s = settings.number("requests.gather_ms") / MS_PER_S
+        self.batch_s = settings.number("requests.gather_ms") / MS_PER_S
 
     def __call__(self, environ: Environ, start: Callable) -> Iterable[bytes]:
         """Serve one request."""
@@ -97,7 +97,7 @@
             detail = "the host failed; see its log"
             failure = Failure(Code.INTERNAL, Step.READ, "host", detail, Ran.UNKNOWN)
             return responder.send_failure(failure)
-        return _Counted(chunks, self._count_end)
+        return _TrackedResponse(chunks, self._count_end)
 
     def _count_end(self) -> None:
         self.active -= 1
@@ -110,15 +110,15 @@
             case "GET", "/readyz":
                 return self._send_ready(responder)
             case _, "/metrics":
-                return self._for_operators(environ, responder, path)
+                return self._handle_operator(environ, responder, path)
             case _, _ if path.startswith("/operator/"):
-                return self._for_operators(environ, responder, path)
+                return self._handle_operator(environ, responder, path)
         if not self.host.is_ready() and not self.host.is_stopping():
             return responder.send_refusal(_not_ready())
         workspace = find_workspace(self.configuration, environ.get("HTTP_AUTHORIZATION", ""))
         if isinstance(workspace, Failure):
             return responder.send_refusal(workspace)
-        environ[WORKSPACE_NOTE] = workspace.id
+        environ[WORKSPACE_KEY] = workspace.id
         limits = read_limits(environ, self.settings.number("requests.deadline_s"))
         if isinstance(limits, Failure):
             return responder.send_refusal(limits)
@@ -135,9 +135,9 @@
             case "POST", "/v1/tickets":
                 return responder.send_json(self.services.issue_ticket(workspace))
             case "POST", "/v1/completions":
-                return self._complete(environ, responder, workspace, limits, chat=False)
+                return self._handle_completion(environ, responder, workspace, limits, chat=False)
             case "POST", "/v1/chat/completions":
-                return self._complete(environ, responder, workspace, limits, chat=True)
+                return self._handle_completion(environ, responder, workspace, limits, chat=True)
         return self.services.serve(environ, responder, workspace, limits)
 
     def _send_ready(self, responder: Responder) -> Iterable[bytes]:
@@ -149,7 +149,9 @@
         models = self.configuration.values(Model)
         return responder.send_json(ModelList([ModelRow(m.id, m.version) for m in models]))
 
-    def _for_operators(self, environ: Environ, responder: Responder, path: str) -> Iterable[bytes]:
+    def _handle_operator(
+        self, environ: Environ, responder: Responder, path: str
+    ) -> Iterable[bytes]:
         if not self._is_operator(environ):
             detail = "expected the operators' key, or a call from this machine"
             failure = Failure(Code.UNAUTHORIZED, Step.AUTHENTICATE, CALLER, detail)
@@ -174,7 +176,7 @@
         header = environ.get("HTTP_AUTHORIZATION", "")
         return digest_key(header.removeprefix("Bearer ").strip()) == digest
 
-    def _complete(
+    def _handle_completion(
         self,
         environ: Environ,
         responder: Responder,
@@ -226,10 +228,10 @@
             return responder.send_failure(first)
         if request.body.stream:
             responder.start_events()
-            return self._relay(generation, first, events, responder.request)
-        return self._collect(generation, first, events, responder)
+            return self._stream_events(generation, first, events, responder.request)
+        return self._collect_reply(generation, first, events, responder)
 
-    def _relay(
+    def _stream_events(
         self,
         generation: Generation,
         first: bytes,
@@ -244,13 +246,13 @@
                     yield encode_error_event(data, request)
                     return
                 yield data
-                if self.gather_s:
-                    eventlet.sleep(self.gather_s)
+                if self.batch_s:
+                    eventlet.sleep(self.batch_s)
             yield DONE
         finally:
             generation.finish()
 
-    def _collect(
+    def _collect_reply(
         self,
         generation: Generation,
         first: bytes,
@@ -266,15 +268,15 @@
         finally:
             generation.finish()
         request = generation.request
-        whole = join_events(b"".join(parts), request.id, request.body.model, request.chat)
-        match whole:
-            case WholeReply():
-                return responder.send_json(whole.body)
+        reply = join_events(b"".join(parts), request.id, request.body.model, request.chat)
+        match reply:
+            case CompleteReply():
+                return responder.send_json(reply.body)
             case Failure():
-                return responder.send_failure(whole)
+                return responder.send_failure(reply)
 
 
-class _Counted:
+class _TrackedResponse:
     """A response's chunks; tells when the response has ended, however it ended."""
 
     def __init__(self, chunks: Iterable[bytes], on_end: Callable[[], None]) -> None:
--- a/libs/daemon/ruddersaddle/replays.py
+++ b/libs/daemon/ruddersaddle/replays.py
@@ -27,12 +27,12 @@
 KEYS_SECTION = "keys"
 
 
-class Sent(msgspec.Struct):
+class ArrivalResult(msgspec.Struct):
     """One arrival and what came back: the status, 0 for none, and whether it was whole."""
 
     arrival: Arrival
     status: int
-    whole: bool
+    complete: bool
     first_ms: float
 
 
@@ -75,15 +75,15 @@
         arrivals = [line for line in lines if isinstance(line, Arrival)]
         began = time.monotonic()
         with ThreadPoolExecutor(THREADS) as pool:
-            waiting = []
+            futures = []
             for number, arrival in enumerate(arrivals):
                 time.sleep(max(0.0, began + arrival.at - time.monotonic()))
                 address = self.addresses[number % len(self.addresses)]
-                waiting.append(pool.submit(self._send, number, arrival, address))
-            sent = [each.result() for each in waiting]
+                futures.append(pool.submit(self._send, number, arrival, address))
+            sent = [each.result() for each in futures]
         return report_replay(sent, lines)
 
-    def _send(self, number: int, arrival: Arrival, address: str) -> Sent:
+    def _send(self, number: int, arrival: Arrival, address: str) -> ArrivalResult:
         key = self.key_by_workspace.get(arrival.workspace, "")
         headers = {"Authorization": f"Bearer {key}", "Priority-Class": arrival.group}
         if arrival.path == COMPLETIONS:
@@ -102,10 +102,10 @@
             )
             first = reply.read1()
             first_ms = (time.monotonic() - began) * MS_PER_S
-            whole = (first + reply.read()).endswith(DONE)
+            complete = (first + reply.read()).endswith(DONE)
         except urllib3.exceptions.HTTPError:
-            return Sent(arrival, 0, False, 0.0)
-        return Sent(arrival, reply.status, whole, first_ms)
+            return ArrivalResult(arrival, 0, False, 0.0)
+        return ArrivalResult(arrival, reply.status, complete, first_ms)
 
     def _prompt_body(self, number: int, arrival: Arrival) -> dict[str, object]:
         body = {"model": self.model, "stream": True, "max_tokens": max(1, arrival.answer_tokens)}
@@ -116,13 +116,13 @@
         return {**body, "prompt": f"{text} question {number}"}
 
 
-def report_replay(sent: list[Sent], lines: list[TraceLine]) -> ReplayReport:
+def report_replay(sent: list[ArrivalResult], lines: list[TraceLine]) -> ReplayReport:
     """Return a replay's counts and how its stated outcomes came out."""
     prompts = [each for each in sent if each.arrival.path == COMPLETIONS]
-    answered = [each for each in prompts if each.whole]
+    answered = [each for each in prompts if each.complete]
     seen = {
         "answered_prompts": len(answered),
-        "cut_streams": sum(each.status == OK and not each.whole for each in prompts),
+        "cut_streams": sum(each.status == OK and not each.complete for each in prompts),
         "answered_calls": sum(
             each.status == OK for each in sent if each.arrival.path != COMPLETIONS
         ),
--- a/libs/daemon/ruddersaddle/replies.py
+++ b/libs/daemon/ruddersaddle/replies.py
@@ -73,7 +73,7 @@
     usage: Usage
 
 
-class WholeReply(msgspec.Struct):
+class CompleteReply(msgspec.Struct):
     """A whole answer, ready to send."""
 
     body: ReplyBody
@@ -92,7 +92,7 @@
     return events
 
 
-def join_events(data: bytes, request: str, model: str, chat: bool) -> WholeReply | Failure:
+def join_events(data: bytes, request: str, model: str, chat: bool) -> CompleteReply | Failure:
     """Return the whole answer that a stream's events make up."""
     events = read_events(data)
     if isinstance(events, Failure):
@@ -108,6 +108,6 @@
     text = "".join(texts)
     if chat:
         choices = [ChatChoice(ChatMessage(text), reason)]
-        return WholeReply(ReplyBody(request, "chat.completion", model, choices, usage))
+        return CompleteReply(ReplyBody(request, "chat.completion", model, choices, usage))
     choices = [CompletionChoice(text, reason)]
-    return WholeReply(ReplyBody(request, "text_completion", model, choices, usage))
+    return CompleteReply(ReplyBody(request, "text_completion", model, choices, usage))
--- a/libs/daemon/ruddersaddle/tests/test_traces.py
+++ b/libs/daemon/ruddersaddle/tests/test_traces.py
@@ -6,7 +6,7 @@
 
 from ruddersaddle.commands import summarize_trace
 from ruddersaddle.traces import (
-    WORKSPACE_NOTE,
+    WORKSPACE_KEY,
     Arrival,
     ExpectedOutcome,
     Fault,
@@ -27,7 +27,7 @@
 
         def application(environ, _start):
             if environ["PATH_INFO"] != "/healthz":
-                environ[WORKSPACE_NOTE] = "clinic"
+                environ[WORKSPACE_KEY] = "clinic"
             return [b"answer"]
 
         wrapped = recorder.wrap(application)
--- a/libs/daemon/ruddersaddle/traces.py
+++ b/libs/daemon/ruddersaddle/traces.py
@@ -14,7 +14,7 @@
 from ruddersaddle_base.failures import Failure, Step
 from ruddersaddle_upstreams.chains import TOKEN_BYTES
 
-WORKSPACE_NOTE = "ruddersaddle.workspace"
+WORKSPACE_KEY = "ruddersaddle.workspace"
 """Where the gateway notes a request's workspace; requests without one are not recorded."""
 
 
@@ -93,7 +93,7 @@
         def record(environ: dict[str, Any], start: Callable) -> Iterable[bytes]:
             at = round(time.monotonic() - self.began, 3)
             chunks = application(environ, start)
-            if WORKSPACE_NOTE in environ:
+            if WORKSPACE_KEY in environ:
                 self._write(environ, at)
             return chunks
 
@@ -103,7 +103,7 @@
         size = environ.get("CONTENT_LENGTH") or "0"
         arrival = Arrival(
             at=at,
-            workspace=environ[WORKSPACE_NOTE],
+            workspace=environ[WORKSPACE_KEY],
             path=environ["PATH_INFO"],
             group=environ.get("HTTP_PRIORITY_CLASS", "normal"),
             prompt_tokens=int(size) // TOKEN_BYTES if is_decimal_integer(size) else 0,
