--- a/libs/daemon/ruddersaddle/commands.py
+++ b/libs/daemon/ruddersaddle/commands.py
@@ -23,18 +23,18 @@
 
 logger = logging.getLogger(__name__)
 
-EXIT_GOOD = 0
+EXIT_OK = 0
 EXIT_PROBLEM = 1
 EXIT_USAGE = 2
 EXIT_REJECTED = 3
 EXIT_UNKNOWN = 4
 EXIT_UNREACHABLE = 5
-EXIT_BY_WORD = {
-    PublishOutcome.ACCEPTED: EXIT_GOOD,
+EXIT_BY_OUTCOME = {
+    PublishOutcome.ACCEPTED: EXIT_OK,
     PublishOutcome.REJECTED: EXIT_REJECTED,
     PublishOutcome.UNKNOWN: EXIT_UNKNOWN,
 }
-WAIT_S = 5.0
+TIMEOUT_S = 5.0
 """Longest wait for a change's fate, in seconds."""
 
 
@@ -67,7 +67,7 @@
     :param file: settings in INI
     :param set: settings as section.key=value, which go before the file and the environment
     """
-    settings = _settings(file, set)
+    settings = _load_settings(file, set)
     start_logging(settings.text("host.log_level"), settings.text("host.id"))
     from ruddersaddle.daemons import Daemon
 
@@ -82,7 +82,7 @@
     :param file: settings in INI
     :param set: settings as section.key=value
     """
-    _settings(file, set)
+    _load_settings(file, set)
     print(describe_settings() if not file else f"{file}: good")
 
 
@@ -93,7 +93,7 @@
 
     :param file: configuration in INI
     """
-    wanted = _published(file)
+    wanted = _load_entries(file)
     print(f"{file}: good, {len(wanted)} entries")
 
 
@@ -110,18 +110,18 @@
     :param log: IP:port of the log service
     :param hosts: IP:port of the host list
     """
-    wanted = _published(file)
-    publisher = _publisher(log, hosts)
+    wanted = _load_entries(file)
+    publisher = _connect_publisher(log, hosts)
     edits = publisher.edits_for(wanted)
     if not edits:
         _print(json, Accepted("unchanged"), "unchanged: everything is in force already")
         return
-    published = publisher.publish(author, edits, WAIT_S)
+    published = publisher.publish(author, edits, TIMEOUT_S)
     if published.word is PublishOutcome.ACCEPTED:
-        published = publisher.await_in_force(published)
+        published = publisher.wait_until_in_force(published)
         _warn_references(publisher)
     _print(json, published, describe_published(published))
-    sys.exit(EXIT_BY_WORD[published.word])
+    sys.exit(EXIT_BY_OUTCOME[published.word])
 
 
 def show(*, change: str = "", json: bool = False, log: str = "", hosts: str = "") -> None:
@@ -134,13 +134,13 @@
     :param log: IP:port of the log service
     :param hosts: IP:port of the host list
     """
-    publisher = _publisher(log, hosts)
+    publisher = _connect_publisher(log, hosts)
     configuration = publisher.configuration
     if change:
-        fate = configuration.result_by_id.get(change)
-        if fate is None:
+        result = configuration.result_by_id.get(change)
+        if result is None:
             _exit(EXIT_UNKNOWN, f"{change}: not in what the log still has; it has not landed")
-        _print(json, fate, f"{fate.outcome.value} at {fate.position} {fate.reason}")
+        _print(json, result, f"{result.outcome.value} at {result.position} {result.reason}")
         return
     entries = [configuration.by_key[key] for key in sorted(configuration.by_key)]
     values = [entry.value for entry in entries if entry.value is not None]
@@ -156,7 +156,7 @@
     :param log: IP:port of the log service
     :param hosts: IP:port of the host list
     """
-    publisher = _publisher(log, hosts)
+    publisher = _connect_publisher(log, hosts)
     rows = read_history(publisher)
     lines = [f"{row.offset} {row.author} {row.outcome} {' '.join(row.entries)}" for row in rows]
     _print(json, rows, "\n".join(lines))
@@ -178,7 +178,7 @@
     :param address: IP:port of the host
     :param json: print JSON
     """
-    found = _ask(address, "GET", "/operator/status", Status)
+    found = _call_host(address, "GET", "/operator/status", Status)
     lines = [f"{found.incarnation} in {found.hall}: {found.state}, {found.active} active"]
     lines.append(f"configuration at {found.configuration_position}, log {found.log_reachable}")
     for row in found.upstreams:
@@ -195,7 +195,7 @@
     :param address: IP:port of the host
     :param json: print JSON
     """
-    found = _ask(address, "GET", "/operator/stats", Stats)
+    found = _call_host(address, "GET", "/operator/stats", Stats)
     lines = ["measure workspace class count p50 p95 p99"]
     for row in found.rows:
         lines.append(" ".join(str(value) for value in msgspec.structs.astuple(row)))
@@ -209,7 +209,7 @@
 
     :param address: IP:port of the host
     """
-    print(_ask(address, "POST", "/operator/drain", Accepted).state)
+    print(_call_host(address, "POST", "/operator/drain", Accepted).state)
 
 
 def replay(
@@ -250,7 +250,7 @@
     text = f"{report.arrivals} sent, {report.answered_prompts} prompts whole, "
     text += f"first token p95 {report.first_p95_ms:.0f} ms, broken: {report.broken or 'nothing'}"
     _print(as_json, report, text)
-    sys.exit(EXIT_PROBLEM if report.broken else EXIT_GOOD)
+    sys.exit(EXIT_PROBLEM if report.broken else EXIT_OK)
 
 
 def summarize_trace(lines: list[TraceLine]) -> TraceSummary:
@@ -280,9 +280,9 @@
 
 
 def _history_row(publisher: Publisher, position: int, change: Change) -> HistoryRow:
-    fate = publisher.configuration.result_by_id.get(change.id)
-    outcome = "unknown" if fate is None else fate.outcome.value
-    reason = "" if fate is None else fate.reason
+    result = publisher.configuration.result_by_id.get(change.id)
+    outcome = "unknown" if result is None else result.outcome.value
+    reason = "" if result is None else result.reason
     entries = [edit.key for edit in change.edits]
     return HistoryRow(position, change.id, change.author, outcome, reason, entries)
 
@@ -298,14 +298,14 @@
     )
 
 
-def _settings(file: str, options: list[str]) -> Settings:
+def _load_settings(file: str, options: list[str]) -> Settings:
     found = read_settings(file or None, os.environ, list(options))
     if isinstance(found, Settings):
         return found
     _exit(EXIT_USAGE, "\n".join(str(problem) for problem in found))
 
 
-def _published(file: str) -> list:
+def _load_entries(file: str) -> list:
     wanted = read_published(file)
     problems = [each for each in wanted if isinstance(each, Problem)]
     if problems:
@@ -313,8 +313,8 @@
     return wanted
 
 
-def _publisher(log: str, hosts: str) -> Publisher:
-    found = _settings("", [])
+def _connect_publisher(log: str, hosts: str) -> Publisher:
+    found = _load_settings("", [])
     log_address = log or found.text("platform.log")
     list_address = hosts or found.text("platform.host_list")
     publisher = Publisher(log_address, list_address, found.number("platform.timeout_s"))
@@ -329,9 +329,9 @@
         print(f"warning: {problem}", file=sys.stderr)
 
 
-def _ask(address: str, method: str, path: str, kind: type) -> object:
+def _call_host(address: str, method: str, path: str, kind: type) -> object:
     key = os.environ.get("RUDDERSADDLE_OPERATOR_KEY", "")
-    data = call_operator(address, method, path, WAIT_S, key)
+    data = call_operator(address, method, path, TIMEOUT_S, key)
     found = data if isinstance(data, Failure) else decode_json(data, kind, Step.READ, address)
     if isinstance(found, Failure):
         _exit(EXIT_UNREACHABLE, f"{address}: {found.code.value}: {found.detail}")
--- a/libs/daemon/ruddersaddle/publishers.py
+++ b/libs/daemon/ruddersaddle/publishers.py
@@ -21,8 +21,8 @@
 from ruddersaddle.published_files import DesiredEntry
 from ruddersaddle.reports import Status
 
-PAUSE_S = 0.1
-IN_FORCE_S = 11.0
+POLL_S = 0.1
+IN_FORCE_TIMEOUT_S = 11.0
 """Longest wait for a change to be in force everywhere, in seconds."""
 
 
@@ -53,7 +53,7 @@
         self.client = LogClient(log_address, timeout_s)
         self.configuration = Configuration()
         self.follower = Follower(self.client, Stream.CONFIGURATION, self.configuration)
-        self.hosts = HostList(list_address, PAUSE_S, timeout_s)
+        self.hosts = HostList(list_address, POLL_S, timeout_s)
         self.timeout_s = timeout_s
 
     def read(self) -> bool:
@@ -77,23 +77,23 @@
         if isinstance(reply, Failure) and reply.ran is Ran.NOT_RUN:
             reason = f"the log was not reached: {reply.detail}"
             return Published(PublishOutcome.REJECTED, change.id, None, reason)
-        fate = self._find_fate(change.id, time.monotonic() + wait_s)
-        if fate is None:
+        result = self._wait_for_result(change.id, time.monotonic() + wait_s)
+        if result is None:
             reason = f"not read back in {wait_s:g} s; see `config show --change {change.id}`"
             return Published(PublishOutcome.UNKNOWN, change.id, None, reason)
-        accepted = fate.outcome is Outcome.ACCEPTED
+        accepted = result.outcome is Outcome.ACCEPTED
         word = PublishOutcome.ACCEPTED if accepted else PublishOutcome.REJECTED
-        return Published(word, change.id, fate.position, fate.reason)
+        return Published(word, change.id, result.position, result.reason)
 
-    def _find_fate(self, change: RecordId, deadline: float) -> RecordResult | None:
+    def _wait_for_result(self, change: RecordId, deadline: float) -> RecordResult | None:
         while True:
             self.follower.read_once(0.0)
-            fate = self.configuration.result_by_id.get(change)
-            if fate is not None or time.monotonic() >= deadline:
-                return fate
-            time.sleep(PAUSE_S)
+            result = self.configuration.result_by_id.get(change)
+            if result is not None or time.monotonic() >= deadline:
+                return result
+            time.sleep(POLL_S)
 
-    def await_in_force(self, published: Published) -> Published:
+    def wait_until_in_force(self, published: Published) -> Published:
         """Wait until every live host has the change in force; return how many have."""
         began = time.monotonic()
         while True:
@@ -103,11 +103,11 @@
             positions = [s.configuration_position for s in statuses if isinstance(s, Status)]
             in_force = sum(position >= published.offset for position in positions)
             elapsed = time.monotonic() - began
-            if in_force == len(rows) or elapsed >= IN_FORCE_S:
+            if in_force == len(rows) or elapsed >= IN_FORCE_TIMEOUT_S:
                 return msgspec.structs.replace(
                     published, hosts_in_force=in_force, hosts_listed=len(rows), seconds=elapsed
                 )
-            time.sleep(PAUSE_S)
+            time.sleep(POLL_S)
 
     def status_of(self, address: str) -> Status | Failure:
         """Return one host's status."""
