--- a/libs/daemon/ruddersaddle/keyed_calls.py
+++ b/libs/daemon/ruddersaddle/keyed_calls.py
@@ -78,12 +78,12 @@
             detail = "the key's date is in the future"
             return Failure(Code.KEY_NOT_DATED, Step.CLAIM, "caller", detail, Ran.UNKNOWN)
         if keyed.key in self.answers.by_key:
-            return self._join(keyed)
+            return self._join_running(keyed)
         owner = self.claims.owner_of(keyed.key)
         if owner is not None:
             return self._ask_owner(keyed, owner, ask)
         if not self._can_claim(keyed):
-            return _unsettled("the log can't be reached or read yet")
+            return _claim_unconfirmed("the log can't be reached or read yet")
         return self._claim(keyed, dispatch, ask)
 
     def _can_claim(self, keyed: KeyedCall) -> bool:
@@ -91,7 +91,7 @@
         known = follower.reached_end and self.claims.has_full_history(keyed.dated)
         return known and follower.reachable and not self.appender.down
 
-    def _join(self, keyed: KeyedCall) -> Answer:
+    def _join_running(self, keyed: KeyedCall) -> Answer:
         answer = self.answers.join(keyed.key, keyed.call, keyed.remaining_s())
         return _still_running() if answer is None else answer
 
@@ -99,8 +99,8 @@
         base = START if keyed.token is None else Position(keyed.token)
         claim = Claim(new_record_id(), keyed.key, self.incarnation, base, keyed.dated)
         slot = self.answers.begin(keyed.key, keyed.call)
-        fate = self._settle(claim, min(self.wait_s, keyed.remaining_s()))
-        if fate is not None and fate.outcome is Outcome.ACCEPTED:
+        result = self._append_and_wait(claim, min(self.wait_s, keyed.remaining_s()))
+        if result is not None and result.outcome is Outcome.ACCEPTED:
             answer = dispatch(keyed.call)
             if isinstance(answer, Failure) and answer.ran is Ran.NOT_RUN:
                 answer = self._void(keyed, claim.id, answer)
@@ -108,28 +108,28 @@
                 self.answers.finish(slot, answer)
                 return answer
         else:
-            answer = self._lost_claim(keyed, claim.id, fate, ask)
+            answer = self._handle_lost_claim(keyed, claim.id, result, ask)
         self.answers.remove(keyed.key, answer)
         return answer
 
-    def _lost_claim(
-        self, keyed: KeyedCall, attempt: RecordId, fate: RecordResult | None, ask: AskOwner
+    def _handle_lost_claim(
+        self, keyed: KeyedCall, attempt: RecordId, result: RecordResult | None, ask: AskOwner
     ) -> Answer:
         """Answer a call whose claim was refused, or not read back in time."""
-        if fate is None:
-            return self._give_up(keyed, attempt)
+        if result is None:
+            return self._abandon_attempt(keyed, attempt)
         owner = self.claims.owner_of(keyed.key)
-        if fate.outcome is Outcome.EXPIRED:
+        if result.outcome is Outcome.EXPIRED:
             return _expired()
-        if fate.outcome is Outcome.HELD and owner is not None:
+        if result.outcome is Outcome.HELD and owner is not None:
             return self._ask_owner(keyed, owner, ask)
         detail = "an earlier try was given up; send the retry token to try again"
         refusal = Failure(Code.KEY_IN_USE, Step.CLAIM, LOG, detail)
         return self._void(keyed, attempt, refusal)
 
-    def _give_up(self, keyed: KeyedCall, attempt: RecordId) -> Answer:
+    def _abandon_attempt(self, keyed: KeyedCall, attempt: RecordId) -> Answer:
         """Answer a call whose claim may still land; it will not be dispatched."""
-        failure = _unsettled("the claim was not settled in time")
+        failure = _claim_unconfirmed("the claim was not settled in time")
         if self.appender.down:
             # The void blocks the claim when the log is back; the caller is not kept waiting.
             self.appender.post(self._void_record(keyed, attempt))
@@ -147,16 +147,16 @@
     def _void(self, keyed: KeyedCall, attempt: RecordId, failure: Failure) -> Failure:
         """Void an attempt; return `failure` as `not_run` with a token only once it is read back."""
         void = self._void_record(keyed, attempt)
-        fate = self._settle(void, self.wait_s)
-        if fate is None or fate.outcome is not Outcome.ACCEPTED:
+        result = self._append_and_wait(void, self.wait_s)
+        if result is None or result.outcome is not Outcome.ACCEPTED:
             return failure.with_ran(Ran.UNKNOWN)
         closed = failure.with_ran(Ran.NOT_RUN)
-        return msgspec.structs.replace(closed, retry_token=fate.position)
+        return msgspec.structs.replace(closed, retry_token=result.position)
 
     def _void_record(self, keyed: KeyedCall, attempt: RecordId) -> Void:
         return Void(new_record_id(), keyed.key, attempt, keyed.dated)
 
-    def _settle(self, record: Claim | Void, timeout_s: float) -> RecordResult | None:
+    def _append_and_wait(self, record: Claim | Void, timeout_s: float) -> RecordResult | None:
         """Append a record and wait until it is read back; None if that took too long.
 
         An append whose answer is lost may have taken effect, so the fate counts, not the answer.
@@ -172,8 +172,8 @@
     def _ask_owner(self, keyed: KeyedCall, owner: Incarnation, ask: AskOwner) -> Answer:
         """Get the answer from the process that holds the key; gone means `unknown` at once."""
         if owner == self.incarnation:
-            self._release(keyed.key)
-            return _forsaken()
+            self._release_late_claim(keyed.key)
+            return _owner_gone()
         request = AnswerRequest(owner, keyed.key, keyed.call)
         while keyed.remaining_s() > 0:
             message = ask(owner, request, min(OWNER_TIMEOUT_S, keyed.remaining_s()))
@@ -188,14 +188,14 @@
     def serve(self, request: AnswerRequest) -> AnswerReply:
         """Answer another host that asks for the answer of a key which this process holds."""
         if request.owner != self.incarnation:
-            return AnswerReply(failure=_forsaken())
+            return AnswerReply(failure=_owner_gone())
         if request.key not in self.answers.by_key:
-            self._release(request.key)
-            return AnswerReply(failure=_forsaken())
+            self._release_late_claim(request.key)
+            return AnswerReply(failure=_owner_gone())
         answer = self.answers.join(request.key, request.call, ANSWER_WAIT_S)
         return to_message(answer)
 
-    def _release(self, key: CallKey) -> None:
+    def _release_late_claim(self, key: CallKey) -> None:
         """Free a key whose claim landed after this process had given it up."""
         state = self.claims.by_key.get(key)
         if state is None or state.owner != self.incarnation or key in self.answers.by_key:
@@ -218,7 +218,7 @@
     return Failure(Code.KEY_EXPIRED, Step.CLAIM, LOG, detail, Ran.UNKNOWN)
 
 
-def _unsettled(detail: str) -> Failure:
+def _claim_unconfirmed(detail: str) -> Failure:
     text = f"this try was not run, an earlier one may have been: {detail}"
     return Failure(Code.LOG_UNAVAILABLE, Step.CLAIM, LOG, text, Ran.UNKNOWN, RETRY_AFTER_S)
 
@@ -228,6 +228,6 @@
     return Failure(Code.DEADLINE, Step.READ, "host", detail, Ran.UNKNOWN, RETRY_AFTER_S)
 
 
-def _forsaken() -> Failure:
+def _owner_gone() -> Failure:
     detail = "the process that held the key is gone, or gave the call up"
     return Failure(Code.PEER_GONE, Step.CLAIM, "host", detail, Ran.UNKNOWN, RETRY_AFTER_S)
