--- a/libs/daemon/ruddersaddle/callers.py
+++ b/libs/daemon/ruddersaddle/callers.py
@@ -20,7 +20,7 @@
 BEARER = "bearer "
 ASSISTANT_OPENING = "assistant: "
 """Opens the answer of a chat, so that prompt and answer are a prefix of the next turn's prompt."""
-MAX_TOKENS_MOST = 65536
+MAX_TOKENS_LIMIT = 65536
 DEADLINE_HEADER = "HTTP_DEADLINE_MS"
 CLASS_HEADER = "HTTP_PRIORITY_CLASS"
 KEY_HEADER = "HTTP_IDEMPOTENCY_KEY"
@@ -113,12 +113,12 @@
     """Return the class and the deadline that the headers give."""
     group = environ.get(CLASS_HEADER, "normal")
     if group not in PRIORITY_BY_CLASS:
-        return _bad(f"Priority-Class: {suggest(group, PRIORITY_BY_CLASS)}")
+        return _bad_request(f"Priority-Class: {suggest(group, PRIORITY_BY_CLASS)}")
     text = environ.get(DEADLINE_HEADER, "")
     if not text:
         return Limits(group, time.monotonic() + default_s)
     if not is_decimal_integer(text) or not 0 < int(text) <= 3_600_000:
-        return _bad("Deadline-Ms: expected 1 to 3600000")
+        return _bad_request("Deadline-Ms: expected 1 to 3600000")
     return Limits(group, time.monotonic() + int(text) / MS_PER_S)
 
 
@@ -128,11 +128,11 @@
     if isinstance(body, Failure):
         return body
     if chat and not body.messages:
-        return _bad("messages: expected at least one message")
+        return _bad_request("messages: expected at least one message")
     if not chat and not body.prompt and not body.template:
-        return _bad("prompt: expected text, or a template")
-    if not 1 <= body.max_tokens <= MAX_TOKENS_MOST:
-        return _bad(f"max_tokens: expected 1 to {MAX_TOKENS_MOST}")
+        return _bad_request("prompt: expected text, or a template")
+    if not 1 <= body.max_tokens <= MAX_TOKENS_LIMIT:
+        return _bad_request(f"max_tokens: expected 1 to {MAX_TOKENS_LIMIT}")
     return body
 
 
@@ -158,13 +158,13 @@
     by_id = {template.id: template for template in own}
     template = by_id.get(body.template)
     if template is None:
-        return _bad(f"template {body.template}: {suggest(body.template, by_id)}")
+        return _bad_request(f"template {body.template}: {suggest(body.template, by_id)}")
     for name in body.parameters:
         if name not in template.parameters:
-            return _bad(f"parameter {name}: {suggest(name, template.parameters)}")
+            return _bad_request(f"parameter {name}: {suggest(name, template.parameters)}")
     missing = [name for name in template.parameters if name not in body.parameters]
     if missing:
-        return _bad(f"parameters: missing {', '.join(missing)}")
+        return _bad_request(f"parameters: missing {', '.join(missing)}")
     return string.Template(template.text).substitute(body.parameters)
 
 
@@ -206,9 +206,9 @@
     if not text:
         return None
     if not is_decimal_integer(text) or len(text) > 18:
-        return _bad("Retry-Token: expected the number that a not_run answer gave")
+        return _bad_request("Retry-Token: expected the number that a not_run answer gave")
     return int(text)
 
 
-def _bad(detail: str) -> Failure:
+def _bad_request(detail: str) -> Failure:
     return Failure(Code.BAD_REQUEST, Step.PARSE, CALLER, detail)
--- a/libs/daemon/ruddersaddle/prefetches.py
+++ b/libs/daemon/ruddersaddle/prefetches.py
@@ -21,7 +21,7 @@
 
 logger = logging.getLogger(__name__)
 
-STEP_S = 0.5
+CHECK_INTERVAL_S = 0.5
 """Pause between looks at the marked events, in seconds."""
 BACKGROUND_PRIORITY = 999
 
@@ -48,7 +48,7 @@
         self.pools = pools
         self.contexts = contexts
         self.prepared = 0
-        self._done: set[tuple[str, float, str]] = set()
+        self._started: set[tuple[str, float, str]] = set()
 
     def start(self) -> None:
         """Start the task."""
@@ -57,14 +57,14 @@
     def _run(self) -> None:
         while True:
             for event in self.configuration.values(Event):
-                if self._is_due(event) and self._is_mine(event):
+                if self._is_due(event) and self._is_assigned_here(event):
                     self._prepare(event)
-            eventlet.sleep(STEP_S)
+            eventlet.sleep(CHECK_INTERVAL_S)
 
     def _is_due(self, event: Event) -> bool:
         return event.at - self.lead_s <= time.time() < event.at
 
-    def _is_mine(self, event: Event) -> bool:
+    def _is_assigned_here(self, event: Event) -> bool:
         live = [row.id for row in self.hosts.entries() if not self.hosts.is_leaving(row.address)]
         return bool(live) and rank_names(event.id, live)[0] == self.host
 
@@ -74,19 +74,19 @@
         if not isinstance(template, Template) or view is None:
             return
         text = shared_prefix(template, event)
-        for load in self._targets(event, view):
+        for load in self._target_engines(event, view):
             label = (event.id, event.at, load.address)
-            if label not in self._done:
-                self._done.add(label)
-                eventlet.spawn(self._warm, event, template.workspace, text, view, load)
+            if label not in self._started:
+                self._started.add(label)
+                eventlet.spawn(self._preload, event, template.workspace, text, view, load)
 
-    def _targets(self, event: Event, view: PoolView) -> list[Load]:
+    def _target_engines(self, event: Event, view: PoolView) -> list[Load]:
         """Return the engines that the event's template is at home on and that take work."""
         homes = view.homes_by_template.get(event.template, ())
         loads = [load for load in view.loads() if load.upstream in homes]
         return [load for load in loads if load.may_accept_work and load.version]
 
-    def _warm(
+    def _preload(
         self, event: Event, workspace: WorkspaceId, text: str, view: PoolView, load: Load
     ) -> None:
         """Bring the template's context into one engine: fetched if it is kept, else computed."""
--- a/libs/daemon/ruddersaddle/snapshots.py
+++ b/libs/daemon/ruddersaddle/snapshots.py
@@ -15,7 +15,7 @@
 
 logger = logging.getLogger(__name__)
 
-STEP_S = 1.0
+CHECK_INTERVAL_S = 1.0
 """Pause between looks, in seconds."""
 DELAY_MAX_S = 2.0
 RETENTION_SHARE = 0.25
@@ -28,13 +28,13 @@
     def __init__(
         self, settings: Settings, configuration: Configuration, appender: Appender
     ) -> None:
-        self.after = settings.integer("platform.snapshot_after")
-        self.age_s = settings.number("platform.retention_s") * RETENTION_SHARE
+        self.records_max = settings.integer("platform.snapshot_after")
+        self.age_max_s = settings.number("platform.retention_s") * RETENTION_SHARE
         self.configuration = configuration
         self.appender = appender
         self.written = 0
-        self._seen = START
-        self._seen_at = time.monotonic()
+        self._last_snapshot = START
+        self._last_snapshot_at = time.monotonic()
         self._random = random.SystemRandom()
 
     def start(self) -> None:
@@ -43,7 +43,7 @@
 
     def _run(self) -> None:
         while True:
-            eventlet.sleep(STEP_S)
+            eventlet.sleep(CHECK_INTERVAL_S)
             if not self.is_due():
                 continue
             eventlet.sleep(self._random.uniform(0, DELAY_MAX_S))
@@ -53,17 +53,20 @@
     def is_due(self) -> bool:
         """Return whether the last snapshot is too many records or too long ago."""
         configuration = self.configuration
-        if configuration.last_snapshot != self._seen:
-            self._seen = configuration.last_snapshot
-            self._seen_at = time.monotonic()
+        if configuration.last_snapshot != self._last_snapshot:
+            self._last_snapshot = configuration.last_snapshot
+            self._last_snapshot_at = time.monotonic()
         if not configuration.complete or configuration.position == START:
             return False
-        behind = split_offset(configuration.position) - split_offset(self._seen)
-        return behind >= self.after or time.monotonic() - self._seen_at >= self.age_s
+        records = split_offset(configuration.position) - split_offset(self._last_snapshot)
+        return (
+            records >= self.records_max
+            or time.monotonic() - self._last_snapshot_at >= self.age_max_s
+        )
 
     def write(self) -> None:
         """Append a snapshot."""
         self.written += 1
-        self._seen_at = time.monotonic()
+        self._last_snapshot_at = time.monotonic()
         logger.info("Snapshot as of position %d.", self.configuration.position)
         self.appender.post(self.configuration.snapshot())
