--- a/libs/daemon/ruddersaddle/bodies.py
+++ b/libs/daemon/ruddersaddle/bodies.py
@@ -8,7 +8,7 @@
 
 from ruddersaddle.callers import CALLER
 
-PART_BYTES = 65536
+READ_BYTES = 65536
 
 
 def read_body(environ: dict[str, Any], bytes_max: int, timeout_s: float) -> bytes | Failure:
@@ -42,7 +42,7 @@
     parts = []
     missing = wanted
     while missing > 0:
-        part = source.read(min(PART_BYTES, missing))
+        part = source.read(min(READ_BYTES, missing))
         if not part:
             break
         parts.append(part)
--- a/libs/daemon/ruddersaddle/callers.py
+++ b/libs/daemon/ruddersaddle/callers.py
@@ -154,8 +154,8 @@
 def _render_template(
     configuration: Configuration, workspace: Workspace, body: CompletionBody
 ) -> str | Failure:
-    own = [t for t in configuration.values(Template) if t.workspace == workspace.id]
-    by_id = {template.id: template for template in own}
+    templates = [t for t in configuration.values(Template) if t.workspace == workspace.id]
+    by_id = {template.id: template for template in templates}
     template = by_id.get(body.template)
     if template is None:
         return _bad_request(f"template {body.template}: {suggest(body.template, by_id)}")
--- a/libs/daemon/ruddersaddle/contexts.py
+++ b/libs/daemon/ruddersaddle/contexts.py
@@ -61,8 +61,8 @@
     def update(self, configuration: Configuration) -> None:
         """Take the newest published store hosts."""
         wanted = {store.id: store for store in configuration.values(Store)}
-        for gone in set(self.store_by_id) - set(wanted):
-            del self.store_by_id[gone]
+        for removed in set(self.store_by_id) - set(wanted):
+            del self.store_by_id[removed]
         for store in wanted.values():
             known = self.store_by_id.get(store.id)
             if known is None or not _is_unchanged(known, store):
@@ -168,8 +168,8 @@
         if count is None or isinstance(count, Failure):
             self.counts.keep_failures += 1
             return 0
-        lacking = keys[count.count :]
-        return self._export(engine, store, lacking) if lacking else 0
+        missing = keys[count.count :]
+        return self._export(engine, store, missing) if missing else 0
 
     def _export(self, engine: EngineClient, store: StoreClient, keys: list[BlockKey]) -> int:
         frames = engine.export_blocks(keys)
--- a/libs/daemon/ruddersaddle/daemons.py
+++ b/libs/daemon/ruddersaddle/daemons.py
@@ -213,8 +213,8 @@
 
     def _request_configuration(self) -> None:
         """Take the state of the peer that is furthest on, while the log can't give it."""
-        own = self.settings.text("host.id")
-        others = [row for row in self.hosts.entries() if row.id != own and row.peer_address]
+        own_id = self.settings.text("host.id")
+        others = [row for row in self.hosts.entries() if row.id != own_id and row.peer_address]
         random.shuffle(others)
         for row in others[:PEERS_ASKED_MAX]:
             answer = self.peers.ask(row.peer_address, ConfigurationRequest(), PEER_TIMEOUT_S)
--- a/libs/daemon/ruddersaddle/generations.py
+++ b/libs/daemon/ruddersaddle/generations.py
@@ -203,25 +203,25 @@
         return self.generator.contexts.find(self.keys_of(version))
 
     def _likely_version(self) -> str:
-        wanted = self.generator.published_version(self.request.body.model)
+        published = self.generator.published_version(self.request.body.model)
         versions = [load.version for load in self.view.loads() if load.version]
-        return wanted if wanted in versions or not versions else versions[0]
+        return published if published in versions or not versions else versions[0]
 
     def _choose(self, prompt: Prompt, stored: StoredChain) -> Choice | None:
         """Choose among the engines of one weight version, waiting while all are at their limit."""
         began = time.monotonic()
         while time.monotonic() < self._deadline:
             version = self.version or self._likely_version()
-            able = [load for load in self.view.loads() if load.version in (version, "")]
-            if not able:
+            candidates = [load for load in self.view.loads() if load.version in (version, "")]
+            if not candidates:
                 return None
-            fresh = [load for load in able if load.address not in self._attempted]
-            choice = self.view.chooser.choose(fresh or able, prompt, stored)
+            unattempted = [load for load in candidates if load.address not in self._attempted]
+            choice = self.view.chooser.choose(unattempted or candidates, prompt, stored)
             if choice is not None:
                 return choice
             waited_s = time.monotonic() - began
-            comes_free = any(load.may_accept_work for load in able)
-            if not comes_free and self.tokens == 0 and waited_s > NO_ENGINE_S:
+            may_become_free = any(load.may_accept_work for load in candidates)
+            if not may_become_free and self.tokens == 0 and waited_s > NO_ENGINE_S:
                 return None
             eventlet.sleep(BUSY_PAUSE_S)
         return None
@@ -252,8 +252,8 @@
 
         What waits at an engine so waits in fair turn too.
         """
-        under_way = self.view.queue.count_of(self.request.workspace.id)
-        return self.request.limits.priority * PRIORITY_STEP + min(under_way, PRIORITY_STEP - 1)
+        active = self.view.queue.count_of(self.request.workspace.id)
+        return self.request.limits.priority * PRIORITY_STEP + min(active, PRIORITY_STEP - 1)
 
     def events(self) -> Iterator[bytes | Failure]:
         """Yield whole events as they arrive; a failure, if any, comes last."""
@@ -317,20 +317,20 @@
             self.tokens,
             extra={"request": self.request.id},
         )
-        again = self.begin()
-        if again is None:
+        failure_after_resume = self.begin()
+        if failure_after_resume is None:
             self.generator.counts.resumed += 1
             return None
-        return again.with_ran(Ran.UNKNOWN)
+        return failure_after_resume.with_ran(Ran.UNKNOWN)
 
     def _end_attempt(self, failure: Failure | None) -> None:
         if self.choice is None:
             return
         load = self.choice.load
         self._sent.finish()
-        harmless = (Code.OVERLOADED, Code.OTHER_VERSION)
+        tolerated_codes = (Code.OVERLOADED, Code.OTHER_VERSION)
         overloaded = failure is not None and failure.code is Code.OVERLOADED
-        failed = failure is not None and failure.code not in harmless
+        failed = failure is not None and failure.code not in tolerated_codes
         load.limit.end(overloaded or self._was_slow)
         load.circuit.end(failed)
         self.choice = None
--- a/libs/daemon/ruddersaddle/orders.py
+++ b/libs/daemon/ruddersaddle/orders.py
@@ -107,17 +107,19 @@
         """
         since = self._held_since[view.pool.id]
         outdated = self._outdated_engines(view, model)
-        return [at for at in outdated if view.load_by_address[at].measured_at >= since]
+        return [
+            address for address in outdated if view.load_by_address[address].measured_at >= since
+        ]
 
     def _acquire_lease(self, pool: PoolId) -> Position | None:
         """Return the fence of our lease, taking or renewing it; None while another holds it."""
         length_s = self.settings.number("leases.length_s")
         lease = self.leases.by_pool.get(pool)
-        own = lease is not None and lease.holder == self.incarnation
+        is_own = lease is not None and lease.holder == self.incarnation
         until = self._lease_until.get(pool, 0.0)
-        if own and time.monotonic() < until - length_s * RENEW_SHARE:
+        if is_own and time.monotonic() < until - length_s * RENEW_SHARE:
             return lease.fence
-        if lease is not None and not own and time.time() <= lease.until + self.leases.margin_s:
+        if lease is not None and not is_own and time.time() <= lease.until + self.leases.margin_s:
             return None
         began = time.monotonic()
         grant = Grant(new_record_id(), pool, self.incarnation, length_s)
@@ -127,7 +129,7 @@
         self.follower.forget(grant.id)
         if result is None or result.outcome is not Outcome.ACCEPTED:
             return None
-        if not own or pool not in self._held_since:
+        if not is_own or pool not in self._held_since:
             self._held_since[pool] = time.monotonic()
         # Our own end of the lease counts from before the append, so it is never late.
         self._lease_until[pool] = began + length_s
--- a/libs/daemon/ruddersaddle/pools.py
+++ b/libs/daemon/ruddersaddle/pools.py
@@ -96,8 +96,8 @@
 
     def assign_event_homes(self, events: list[Event]) -> None:
         """Work out on which engines the templates of marked events are at home."""
-        own = [event for event in events if event.model == self.pool.model]
-        copies = {event.template: event.copies for event in own}
+        events_of_pool = [event for event in events if event.model == self.pool.model]
+        copies = {event.template: event.copies for event in events_of_pool}
         upstreams = [load.upstream for load in self.loads() if not load.leaving]
         self.homes_by_template = assign_homes(copies, upstreams)
 
@@ -203,8 +203,8 @@
     def update(self, configuration: Configuration) -> None:
         """Take the newest configuration and host list."""
         wanted = {pool.id: pool for pool in configuration.values(Pool)}
-        for gone in set(self.by_id) - set(wanted):
-            self.by_id.pop(gone).load_by_address.clear()
+        for removed in set(self.by_id) - set(wanted):
+            self.by_id.pop(removed).load_by_address.clear()
         for pool in wanted.values():
             if pool.id not in self.by_id:
                 self.by_id[pool.id] = PoolView(pool, self.settings)
--- a/libs/daemon/ruddersaddle/prefetches.py
+++ b/libs/daemon/ruddersaddle/prefetches.py
@@ -75,9 +75,9 @@
             return
         text = shared_prefix(template, event)
         for load in self._target_engines(event, view):
-            label = (event.id, event.at, load.address)
-            if label not in self._started:
-                self._started.add(label)
+            target = (event.id, event.at, load.address)
+            if target not in self._started:
+                self._started.add(target)
                 eventlet.spawn(self._preload, event, template.workspace, text, view, load)
 
     def _target_engines(self, event: Event, view: PoolView) -> list[Load]:
@@ -123,7 +123,7 @@
 def shared_prefix(template: Template, event: Event) -> str:
     """Return the template's text up to the first parameter that the event leaves open."""
     text = string.Template(template.text).safe_substitute(event.arguments)
-    open_names = [name for name in template.parameters if name not in event.arguments]
-    ends = [text.find(mark) for name in open_names for mark in (f"${name}", f"${{{name}}}")]
+    missing_names = [name for name in template.parameters if name not in event.arguments]
+    ends = [text.find(mark) for name in missing_names for mark in (f"${name}", f"${{{name}}}")]
     found = [end for end in ends if end >= 0]
     return text[: min(found)] if found else text
--- a/libs/daemon/ruddersaddle/publishers.py
+++ b/libs/daemon/ruddersaddle/publishers.py
@@ -65,8 +65,8 @@
         edits = []
         for each in wanted:
             entry = self.configuration.by_key.get(each.key)
-            present = None if entry is None else entry.value
-            if present != each.value:
+            current = None if entry is None else entry.value
+            if current != each.value:
                 edits.append(Edit(each.key, self.configuration.version(each.key), each.value))
         return edits
 
--- a/libs/daemon/ruddersaddle/replays.py
+++ b/libs/daemon/ruddersaddle/replays.py
@@ -120,7 +120,7 @@
     """Return a replay's counts and how its stated outcomes came out."""
     prompts = [each for each in sent if each.arrival.path == COMPLETIONS]
     answered = [each for each in prompts if each.complete]
-    seen = {
+    counts = {
         "answered_prompts": len(answered),
         "cut_streams": sum(each.status == OK and not each.complete for each in prompts),
         "answered_calls": sum(
@@ -131,12 +131,17 @@
     for line in lines:
         if not isinstance(line, ExpectedOutcome):
             continue
-        if line.name not in seen:
+        if line.name not in counts:
             not_judged.append(line.name)
-        elif not line.lowest <= seen[line.name] <= line.highest:
-            broken.append(f"{line.name}: {seen[line.name]}, {line.lowest:g} to {line.highest:g}")
+        elif not line.lowest <= counts[line.name] <= line.highest:
+            broken.append(f"{line.name}: {counts[line.name]}, {line.lowest:g} to {line.highest:g}")
     times = sorted(each.first_ms for each in answered) or [0.0]
     p50, p95 = (times[int((len(times) - 1) * share)] for share in (0.5, 0.95))
     return ReplayReport(
-        len(sent), **seen, first_p50_ms=p50, first_p95_ms=p95, broken=broken, not_judged=not_judged
+        len(sent),
+        **counts,
+        first_p50_ms=p50,
+        first_p95_ms=p95,
+        broken=broken,
+        not_judged=not_judged,
     )
--- a/libs/daemon/ruddersaddle/replies.py
+++ b/libs/daemon/ruddersaddle/replies.py
@@ -82,10 +82,10 @@
 def read_events(data: bytes) -> list[TokenEvent] | Failure:
     """Return the typed events of a stream's bytes."""
     events = []
-    for piece in data.split(EVENT_END):
-        if not piece:
+    for frame in data.split(EVENT_END):
+        if not frame:
             continue
-        event = decode_json(piece.removeprefix(DATA_PREFIX), TokenEvent, Step.READ, ENGINE)
+        event = decode_json(frame.removeprefix(DATA_PREFIX), TokenEvent, Step.READ, ENGINE)
         if isinstance(event, Failure):
             return event
         events.append(event)
--- a/libs/daemon/ruddersaddle/service_calls.py
+++ b/libs/daemon/ruddersaddle/service_calls.py
@@ -38,9 +38,9 @@
     def _dispatch(self, call: ServiceCall, repeatable: bool) -> Answer:
         view = self.pools.by_id.get(call.pool)
         if view is None:
-            return _none_open(call.pool)
+            return _no_open_upstream(call.pool)
         view.budget.record_first()
-        answer: Answer = _none_open(call.pool)
+        answer: Answer = _no_open_upstream(call.pool)
         attempted: set[str] = set()
         while True:
             load = self._select_load(view, attempted)
@@ -80,6 +80,6 @@
     return repeatable or answer.ran is Ran.NOT_RUN
 
 
-def _none_open(pool: str) -> Failure:
+def _no_open_upstream(pool: str) -> Failure:
     detail = "no upstream is open"
     return Failure(Code.NO_UPSTREAM, Step.CONNECT, pool, detail, retry_after_s=1.0)
--- a/libs/daemon/ruddersaddle/service_routes.py
+++ b/libs/daemon/ruddersaddle/service_routes.py
@@ -245,10 +245,16 @@
 
 
 def _forward_reply(reply: Reply, responder: Responder) -> Iterable[bytes]:
-    passed = [(name, value) for name, value in reply.headers if is_forwarded(name)]
-    kept = [pair for pair in passed if pair[0].lower() not in ("content-type", "request-id")]
+    forwarded = [(name, value) for name, value in reply.headers if is_forwarded(name)]
+    upstream_headers = [
+        pair for pair in forwarded if pair[0].lower() not in ("content-type", "request-id")
+    ]
     by_name = {name.lower(): value for name, value in reply.headers}
     kind = by_name.get("content-type", "application/octet-stream")
-    headers = [*responder.headers(kind), *kept, ("Content-Length", str(len(reply.body)))]
+    headers = [
+        *responder.headers(kind),
+        *upstream_headers,
+        ("Content-Length", str(len(reply.body))),
+    ]
     responder.start(f"{reply.status} Answered", headers)
     return [reply.body]
--- a/libs/daemon/ruddersaddle/tests/test_callers.py
+++ b/libs/daemon/ruddersaddle/tests/test_callers.py
@@ -50,13 +50,13 @@
         found = render_prompt(configured(CLINIC, template), CLINIC, body)
         self.assertIs(found.code, Code.BAD_REQUEST)
 
-    def test_a_parameter_is_put_in_as_text_and_not_read_again(self):
+    def test_a_parameter_is_inserted_as_text_and_not_substituted_again(self):
         template = Template("t", CLINIC.id, "Dear $name, $day", ("name", "day"))
         body = CompletionBody("m", template="t", parameters={"name": "$day", "day": "$name"})
         text = render_prompt(configured(CLINIC, template), CLINIC, body)
         self.assertEqual(text, "Dear $day, $name")
 
-    def test_a_turn_of_a_chat_is_a_prefix_of_the_next(self):
+    def test_prompt_and_answer_of_a_chat_are_a_prefix_of_the_next_turn(self):
         first = read_completion(b'{"model":"m","messages":[{"role":"user","content":"a"}]}', True)
         later = b'{"model":"m","messages":[{"role":"user","content":"a"},'
         later += b'{"role":"assistant","content":"b"},{"role":"user","content":"c"}]}'
@@ -64,7 +64,7 @@
         texts = [render_prompt(configured(CLINIC), CLINIC, body) for body in (first, second)]
         self.assertTrue(texts[1].startswith(texts[0] + "b"))
 
-    def test_keys_bear_their_time_or_a_date(self):
+    def test_keys_contain_their_time_or_need_a_date(self):
         key = uuid.UUID(int=(1_700_000_000_000 << 80) | (7 << 76) | (2 << 62))
         self.assertEqual(read_key({"HTTP_IDEMPOTENCY_KEY": str(key)}).dated, 1_700_000_000.0)
         date = "Tue, 14 Nov 2023 22:13:20 GMT"
--- a/libs/daemon/ruddersaddle/tests/test_published_files.py
+++ b/libs/daemon/ruddersaddle/tests/test_published_files.py
@@ -12,9 +12,9 @@
     maxDiff = None
 
     def test_the_sample_is_read_and_written_back_whole(self):
-        wanted = read_published(str(FOLDER / "input" / "clinics.ini"))
-        self.assertFalse([each for each in wanted if isinstance(each, Problem)])
-        values = [each.value for each in wanted if each.value is not None]
+        entries = read_published(str(FOLDER / "input" / "clinics.ini"))
+        self.assertFalse([each for each in entries if isinstance(each, Problem)])
+        values = [each.value for each in entries if each.value is not None]
         expected = (FOLDER / "output" / "clinics.ini").read_text()
         self.assertEqual(format_published(values), expected)
 
