--- a/libs/daemon/ruddersaddle/answers.py
+++ b/libs/daemon/ruddersaddle/answers.py
@@ -1,4 +1,4 @@
-"""Answers of calls that may not be repeated, kept so that a repeat gets the same whole answer."""
+"""Cached answers of non-repeatable calls, so that a repeat gets the same complete answer."""
 
 import time
 from collections import OrderedDict
@@ -16,7 +16,7 @@
 
 
 class AnswerSlot:
-    """One call that this process runs or ran."""
+    """One call that this process runs or has run, and its answer."""
 
     def __init__(self, call: ServiceCall) -> None:
         self.fingerprint = call.fingerprint()
@@ -26,12 +26,12 @@
 
     @property
     def size(self) -> int:
-        """Bytes that the answer takes."""
+        """Bytes of the cached answer."""
         return len(self.answer.body) if isinstance(self.answer, Reply) else 0
 
 
 class AnswerCache:
-    """Slots by key; the oldest answers are dropped first, their keys stay."""
+    """Answer slots by key. The oldest answers are evicted first; their keys stay."""
 
     def __init__(self, bytes_max: int, memory_s: float) -> None:
         self.bytes_max = bytes_max
@@ -40,28 +40,28 @@
         self.by_key: OrderedDict[CallKey, AnswerSlot] = OrderedDict()
 
     def begin(self, key: CallKey, call: ServiceCall) -> AnswerSlot:
-        """Take the slot of a call that this process is about to run."""
+        """Create the slot of a call that this process is about to run."""
         self._evict_expired()
         slot = AnswerSlot(call)
         self.by_key[key] = slot
         return slot
 
     def finish(self, slot: AnswerSlot, answer: Answer) -> None:
-        """Keep a call's answer and wake whoever waits for it."""
+        """Store a call's answer and wake the tasks that wait for it."""
         slot.answer = answer
         self.cached_bytes += slot.size
         slot.signal.send(None)
         self._evict_to_limit()
 
     def remove(self, key: CallKey, answer: Answer) -> None:
-        """Give a slot up for a call that was not run; those who wait get `answer`."""
+        """Remove the slot of a call that was not run; waiting tasks get `answer`."""
         slot = self.by_key.pop(key, None)
         if slot is not None and slot.answer is None:
             slot.answer = answer
             slot.signal.send(None)
 
     def join(self, key: CallKey, call: ServiceCall, timeout_s: float) -> Answer | None:
-        """Return the answer of a slot, waiting for it; None if it is still running."""
+        """Wait for the answer of a slot and return it; None if the call is still running."""
         slot = self.by_key[key]
         if slot.fingerprint != call.fingerprint():
             detail = "the key was used for another call"
@@ -90,13 +90,13 @@
 
 
 def evicted_answer() -> Failure:
-    """Return what a repeat gets once the answer itself is no longer kept."""
-    detail = "the call ran; its answer is no longer kept"
+    """Return what a repeat gets after the answer has been evicted."""
+    detail = "the call was run; its answer is no longer cached"
     return Failure(Code.KEY_IN_USE, Step.CLAIM, "host", detail, Ran.RAN)
 
 
 class AnswerCounts(msgspec.Struct):
-    """How keyed calls ended on this host."""
+    """Counts of the outcomes of keyed calls on this host."""
 
     answered: int = 0
     not_run: int = 0
--- a/libs/daemon/ruddersaddle/bodies.py
+++ b/libs/daemon/ruddersaddle/bodies.py
@@ -1,4 +1,4 @@
-"""Reading a request's body: bounded in size and time, so that a slow sender costs only itself."""
+"""Reading a request's body with limits on size and time, so that a slow sender delays no other."""
 
 from typing import Any
 
@@ -12,7 +12,7 @@
 
 
 def read_body(environ: dict[str, Any], bytes_max: int, timeout_s: float) -> bytes | Failure:
-    """Return the whole body, or a failure for one too large, too slow or cut short."""
+    """Return the complete body, or a failure if it is too large, too slow or truncated."""
     length = environ.get("CONTENT_LENGTH") or ""
     chunked = "chunked" in environ.get("HTTP_TRANSFER_ENCODING", "").lower()
     if length and not is_decimal_integer(length):
--- a/libs/daemon/ruddersaddle/callers.py
+++ b/libs/daemon/ruddersaddle/callers.py
@@ -1,4 +1,4 @@
-"""Callers' requests: who asks, and what is asked, as typed values."""
+"""Parsing and validation of callers' requests into typed values."""
 
 import email.utils
 import re
@@ -19,7 +19,7 @@
 CALLER = "caller"
 BEARER = "bearer "
 ASSISTANT_OPENING = "assistant: "
-"""Opens the answer of a chat, so that prompt and answer are a prefix of the next turn's prompt."""
+"""Ends a chat's prompt, so that prompt plus answer is a prefix of the next turn's prompt."""
 MAX_TOKENS_LIMIT = 65536
 DEADLINE_HEADER = "HTTP_DEADLINE_MS"
 CLASS_HEADER = "HTTP_PRIORITY_CLASS"
@@ -28,7 +28,7 @@
 TOKEN_HEADER = "HTTP_RETRY_TOKEN"
 PRIORITY_BY_CLASS = {"urgent": 0, "normal": 1, "batch": 2}
 URGENCY_BY_CLASS = {"urgent": 4.0, "normal": 1.0, "batch": 0.25}
-"""What a class multiplies its workspace's weight by."""
+"""Factor of each class on its workspace's weight."""
 KEY_PATTERN = re.compile(r"[\x21-\x7e]{1,200}")
 UUID_TIME_SHIFT = 80
 MS_PER_S = 1000
@@ -42,7 +42,7 @@
 
 
 class CompletionBody(msgspec.Struct, frozen=True):
-    """Body of a completion or of a chat, as callers of models send it."""
+    """Body of a completion or chat request."""
 
     model: str
     prompt: str = ""
@@ -62,21 +62,21 @@
 
     @property
     def priority(self) -> int:
-        """The engine's priority; lower goes first."""
+        """The priority for the engine; lower values go first."""
         return PRIORITY_BY_CLASS[self.group]
 
     @property
     def urgency(self) -> float:
-        """What the class multiplies its workspace's weight by."""
+        """Factor of the class on its workspace's weight."""
         return URGENCY_BY_CLASS[self.group]
 
     def remaining_s(self) -> float:
-        """Return the seconds left."""
+        """Return the seconds left until the deadline."""
         return self.deadline - time.monotonic()
 
 
 class PromptRequest(msgspec.Struct, frozen=True):
-    """A checked prompt."""
+    """A validated prompt request."""
 
     id: RequestId
     workspace: Workspace
@@ -87,14 +87,14 @@
 
 
 class KeyDate(msgspec.Struct, frozen=True):
-    """A call's key and the key's own time, in Unix seconds."""
+    """A call's idempotency key and the date of the key in Unix seconds."""
 
     key: str
     dated: float
 
 
 def find_workspace(configuration: Configuration, header: str) -> Workspace | Failure:
-    """Return the workspace whose caller key the `Authorization` header bears."""
+    """Return the workspace that the caller's key in the `Authorization` header belongs to."""
     if header.lower().startswith(BEARER):
         digest = digest_key(header[len(BEARER) :].strip())
         workspace = configuration.workspace_by_digest.get(digest)
@@ -105,12 +105,12 @@
 
 
 def digest_key(key: str) -> str:
-    """Return the digest by which a caller's key is published."""
+    """Return the digest that is published for a caller's key."""
     return sha256(key.encode()).hexdigest()
 
 
 def read_limits(environ: Mapping[str, str], default_s: float) -> Limits | Failure:
-    """Return the class and the deadline that the headers give."""
+    """Return the priority class and the deadline from the headers."""
     group = environ.get(CLASS_HEADER, "normal")
     if group not in PRIORITY_BY_CLASS:
         return _bad_request(f"Priority-Class: {suggest(group, PRIORITY_BY_CLASS)}")
@@ -123,7 +123,7 @@
 
 
 def read_completion(data: bytes, chat: bool) -> CompletionBody | Failure:
-    """Return the checked body of a completion or chat."""
+    """Return the validated body of a completion or chat."""
     body = decode_json(data, CompletionBody, Step.PARSE, CALLER)
     if isinstance(body, Failure):
         return body
@@ -139,7 +139,7 @@
 def render_prompt(
     configuration: Configuration, workspace: Workspace, body: CompletionBody
 ) -> str | Failure:
-    """Return the prompt's whole text: the template's, then the messages or the prompt."""
+    """Return the complete prompt: the template, then the messages, then the prompt text."""
     prefix = ""
     if body.template:
         found = _render_template(configuration, workspace, body)
@@ -169,10 +169,11 @@
 
 
 def read_key(environ: Mapping[str, str]) -> KeyDate | Failure:
-    """Return the call's key and its date.
+    """Return the call's idempotency key and its date.
 
-    The key is a UUID of version 7, which holds its time (RFC 9562), or any other text beside an
-    `Idempotency-Date` in HTTP's form. Without a date a forgotten key looks like a new one.
+    The key is a UUID of version 7, which contains its time (RFC 9562), or any other text together
+    with an `Idempotency-Date` header as an HTTP date. Without a date, a key that is no longer
+    remembered could not be told from a new one.
     """
     key = environ.get(KEY_HEADER, "")
     if not KEY_PATTERN.fullmatch(key):
@@ -201,7 +202,7 @@
 
 
 def read_retry_token(environ: Mapping[str, str]) -> int | None | Failure:
-    """Return the retry token of the caller's last `not_run`, or None."""
+    """Return the retry token of the `not_run` answer that the caller retries, or None."""
     text = environ.get(TOKEN_HEADER, "")
     if not text:
         return None
--- a/libs/daemon/ruddersaddle/commands.py
+++ b/libs/daemon/ruddersaddle/commands.py
@@ -1,4 +1,4 @@
-"""The command line: the daemon and the operators' client, in one executable."""
+"""Command line of the executable: the daemon and the client for operators."""
 
 import logging
 import os
@@ -35,11 +35,11 @@
     PublishOutcome.UNKNOWN: EXIT_UNKNOWN,
 }
 TIMEOUT_S = 5.0
-"""Longest wait for a change's fate, in seconds."""
+"""Longest wait for a change's result or for a host's answer."""
 
 
 class HistoryRow(msgspec.Struct):
-    """One change of the configuration and how it ended."""
+    """One change of the configuration and its outcome."""
 
     offset: int
     change: str
@@ -50,7 +50,7 @@
 
 
 class TraceSummary(msgspec.Struct):
-    """What a trace holds; seconds and counts."""
+    """Duration of a trace in seconds, and counts of its lines."""
 
     seconds: float
     arrivals: int
@@ -65,7 +65,7 @@
     Example: ruddersaddle serve --file host.ini --set host.id=host-1
 
     :param file: settings in INI
-    :param set: settings as section.key=value, which go before the file and the environment
+    :param set: settings as section.key=value; they override the environment and the file
     """
     settings = _load_settings(file, set)
     start_logging(settings.text("host.log_level"), settings.text("host.id"))
@@ -75,7 +75,7 @@
 
 
 def settings(*, file: str = "", set: list[str] = ()) -> None:  # noqa: A002
-    """Check settings; print the table of defaults when no file is given.
+    """Check settings; without a file, print the table of defaults.
 
     Example: ruddersaddle settings --file host.ini
 
@@ -87,7 +87,7 @@
 
 
 def check(file: str) -> None:
-    """Check a configuration file as publishing does.
+    """Validate a configuration file as `config publish` does.
 
     Example: ruddersaddle config check clinics.ini
 
@@ -100,12 +100,12 @@
 def publish(
     file: str, *, author: str = "operator", json: bool = False, log: str = "", hosts: str = ""
 ) -> None:
-    """Publish a configuration file; end with accepted (0), rejected (3) or unknown (4).
+    """Publish a configuration file; the exit status is 0 accepted, 3 rejected or 4 unknown.
 
     Example: ruddersaddle config publish clinics.ini --author anna
 
     :param file: configuration in INI
-    :param author: who publishes
+    :param author: name of the operator who publishes
     :param json: print JSON
     :param log: IP:port of the log service
     :param hosts: IP:port of the host list
@@ -114,7 +114,7 @@
     publisher = _connect_publisher(log, hosts)
     edits = publisher.edits_for(wanted)
     if not edits:
-        _print(json, Accepted("unchanged"), "unchanged: everything is in force already")
+        _print(json, Accepted("unchanged"), "unchanged: all entries are already in force")
         return
     published = publisher.publish(author, edits, TIMEOUT_S)
     if published.word is PublishOutcome.ACCEPTED:
@@ -125,7 +125,7 @@
 
 
 def show(*, change: str = "", json: bool = False, log: str = "", hosts: str = "") -> None:
-    """Show the configuration in force, or the fate of one change.
+    """Show the configuration in force, or the outcome of one change.
 
     Example: ruddersaddle config show --change 5f0c…
 
@@ -139,7 +139,10 @@
     if change:
         result = configuration.result_by_id.get(change)
         if result is None:
-            _exit(EXIT_UNKNOWN, f"{change}: not in what the log still has; it has not landed")
+            _exit(
+                EXIT_UNKNOWN,
+                f"{change}: not in the records that the log retains; it has not been applied",
+            )
         _print(json, result, f"{result.outcome.value} at {result.position} {result.reason}")
         return
     entries = [configuration.by_key[key] for key in sorted(configuration.by_key)]
@@ -148,7 +151,7 @@
 
 
 def history(*, json: bool = False, log: str = "", hosts: str = "") -> None:
-    """List the changes that the log still has, with how each ended.
+    """List the changes that the log retains, with their outcomes.
 
     Example: ruddersaddle config history --json
 
@@ -188,7 +191,7 @@
 
 
 def stats(address: str, *, json: bool = False) -> None:
-    """Show one host's percentiles for each workspace and class, in milliseconds.
+    """Show one host's latency percentiles by workspace and class, in milliseconds.
 
     Example: ruddersaddle stats 127.0.0.1:8080
 
@@ -203,7 +206,7 @@
 
 
 def drain(address: str) -> None:
-    """Begin the planned stop of one host, from its own machine or with the operators' key.
+    """Start the planned stop of one host, from its own machine or with the operators' key.
 
     Example: ruddersaddle drain 127.0.0.1:8080
 
@@ -220,13 +223,13 @@
     model: str = "assistant",
     json: bool = False,
 ) -> None:
-    """Check a trace and tell what it holds; with addresses, send it there and check its outcomes.
+    """Validate and summarize a trace; with addresses, replay it there and check its outcomes.
 
     Example: ruddersaddle trace replay opening.jsonl --json
 
     :param file: trace in JSON lines
-    :param address: IP:port of hosts to send it to, each in turn
-    :param keys: INI file with callers' keys by workspace in a section [keys]
+    :param address: IP:port of hosts to send it to, in round-robin order
+    :param keys: INI file with the callers' keys by workspace in a section [keys]
     :param model: model that prompts are sent to
     :param json: print JSON
     """
@@ -247,14 +250,14 @@
     if isinstance(found, Problem):
         _exit(EXIT_USAGE, str(found))
     report = TraceReplay(addresses, found, model).run(lines)
-    text = f"{report.arrivals} sent, {report.answered_prompts} prompts whole, "
+    text = f"{report.arrivals} sent, {report.answered_prompts} prompts complete, "
     text += f"first token p95 {report.first_p95_ms:.0f} ms, broken: {report.broken or 'nothing'}"
     _print(as_json, report, text)
     sys.exit(EXIT_PROBLEM if report.broken else EXIT_OK)
 
 
 def summarize_trace(lines: list[TraceLine]) -> TraceSummary:
-    """Return what a trace holds."""
+    """Return the duration of a trace and the counts of its lines."""
     arrivals = [line for line in lines if isinstance(line, Arrival)]
     counts: dict[str, int] = {}
     for arrival in arrivals:
@@ -266,7 +269,7 @@
 
 
 def read_history(publisher: Publisher) -> list[HistoryRow]:
-    """Return a row for each change that the log still has."""
+    """Return a row for each change that the log retains."""
     rows = []
     start = 0
     while True:
@@ -288,7 +291,7 @@
 
 
 def describe_published(published: Published) -> str:
-    """Return how a change ended, as one sentence."""
+    """Return the outcome of a change as one sentence."""
     if published.word is not PublishOutcome.ACCEPTED:
         return f"{published.word.value}: change {published.change}. {published.reason}"
     where = f"{published.hosts_in_force} of {published.hosts_listed} hosts"
@@ -319,7 +322,7 @@
     list_address = hosts or found.text("platform.host_list")
     publisher = Publisher(log_address, list_address, found.number("platform.timeout_s"))
     if not publisher.read():
-        _exit(EXIT_UNREACHABLE, f"the log at {log_address} was not reached")
+        _exit(EXIT_UNREACHABLE, f"the log service at {log_address} was not reached")
     return publisher
 
 
--- a/libs/daemon/ruddersaddle/contexts.py
+++ b/libs/daemon/ruddersaddle/contexts.py
@@ -1,7 +1,7 @@
-"""Kept context: found on store hosts, fetched into engines, and kept after a stream has ended.
+"""Context cache on store hosts: lookup, fetch into engines, and saving after a stream has ended.
 
-The store host of a context is its first choice by rendezvous hash over the published store hosts,
-so every host finds it without a directory: 2.2 million kept prompts cost a host no memory.
+The store host of a context is selected by rendezvous hashing over the published store hosts. Every
+host finds it without a directory, so 2.2 million stored prompts take no memory on a host.
 """
 
 import logging
@@ -24,11 +24,11 @@
 logger = logging.getLogger(__name__)
 
 PENDING_SAVES_MAX = 64
-"""Contexts that wait to be kept; more are dropped, since keeping is only a hint for later."""
+"""Further saves are dropped: a saved context only speeds up later requests."""
 
 
 class ContextCounts(msgspec.Struct):
-    """Counts of what was done with kept context."""
+    """Counts of lookups, fetches and saves of stored context."""
 
     found: int = 0
     fetched_blocks: int = 0
@@ -39,7 +39,7 @@
 
 
 class ContextLookup(msgspec.Struct, frozen=True):
-    """Where a chain is kept and what that means for a choice."""
+    """The stored part of a block chain, its store host, and the size of a block."""
 
     chain: StoredChain
     store: StoreClient | None = None
@@ -47,7 +47,7 @@
 
 
 class ContextCache:
-    """The contexts kept on store hosts, as this host uses them."""
+    """This host's client of the contexts on store hosts."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
@@ -59,7 +59,7 @@
         self._pending_saves = 0
 
     def update(self, configuration: Configuration) -> None:
-        """Take the newest published store hosts."""
+        """Apply the published list of store hosts."""
         wanted = {store.id: store for store in configuration.values(Store)}
         for removed in set(self.store_by_id) - set(wanted):
             del self.store_by_id[removed]
@@ -74,7 +74,7 @@
         return StoreClient(store.address, Link(store.link_bytes_s), connect_s, timeout_s)
 
     def _select_store(self, keys: Sequence[BlockKey]) -> StoreClient | None:
-        """Return the first choice of store host for a chain, or the next if its link is down."""
+        """Return the store host for a chain: the first by rendezvous hash whose link is up."""
         for name in rank_names(keys[0], self.store_by_id):
             store = self.store_by_id[name]
             if store.link.is_up:
@@ -82,7 +82,7 @@
         return None
 
     def find(self, keys: list[BlockKey]) -> ContextLookup:
-        """Return what is kept of a chain; finding nothing is no failure."""
+        """Return how much of a chain is stored; an unreachable store counts as nothing stored."""
         if not self.enabled or len(keys) < self.min_blocks:
             return ContextLookup(StoredChain())
         store = self._select_store(keys)
@@ -103,11 +103,11 @@
     def fetch(
         self, found: ContextLookup, engine: EngineClient, chain: list[BlockKey], cached: int
     ) -> int:
-        """Move verified blocks of a chain from a store host into an engine; return how many.
+        """Transfer verified blocks of a chain from a store host to an engine; return their count.
 
-        The first `cached` blocks are there already; the engine is told to hold on to them.
+        The first `cached` blocks are already in the engine, which is asked to retain them.
 
-        One fetch of the same blocks to the same engine runs at a time; others wait for it.
+        Only one fetch of the same blocks to the same engine runs at a time; others wait for it.
         """
         target = (engine.address, chain[-1])
         running = self._fetch_by_target.get(target)
@@ -145,7 +145,7 @@
         return len(frames)
 
     def save_in_background(self, engine: EngineClient, request: RequestId) -> None:
-        """Keep a finished request's context in the background."""
+        """Save a finished request's context in the background."""
         if not self.enabled or not self.store_by_id or self._pending_saves >= PENDING_SAVES_MAX:
             self.counts.keep_dropped += 1
             return
@@ -159,7 +159,7 @@
             self._pending_saves -= 1
 
     def save(self, engine: EngineClient, request: RequestId) -> int:
-        """Export what its store host lacks of a request's context; return how many blocks."""
+        """Save the blocks of a request's context that the store host lacks; return their count."""
         keys = engine.list_request_blocks(request)
         if isinstance(keys, Failure) or len(keys) < self.min_blocks:
             return 0
@@ -181,7 +181,7 @@
             return 0
         written = store.write(frames)
         if isinstance(written, Failure):
-            logger.info("Context was not kept on %s. %s", store.address, written.detail)
+            logger.info("Context was not saved on %s. %s", store.address, written.detail)
             self.counts.keep_failures += 1
             return 0
         self.counts.kept_blocks += len(keys)
--- a/libs/daemon/ruddersaddle/daemons.py
+++ b/libs/daemon/ruddersaddle/daemons.py
@@ -1,4 +1,4 @@
-"""The daemon of one entry host: its parts, how they start, and its planned stop."""
+"""The daemon of one entry host: its components, startup, and planned stop."""
 
 import logging
 import random
@@ -42,7 +42,7 @@
 logger = logging.getLogger(__name__)
 
 UPDATE_INTERVAL_S = 0.25
-"""Pause between looks at new configuration and hosts, in seconds."""
+"""Interval between checks for a new configuration or host list."""
 STOP_POLL_S = 0.05
 PEER_TIMEOUT_S = 1.0
 PEERS_ASKED_MAX = 3
@@ -51,7 +51,7 @@
 
 
 class HostPhase(Enum):
-    """Where a host stands in its life."""
+    """Lifecycle phase of a host."""
 
     STARTING = "starting"
     READY = "ready"
@@ -78,7 +78,7 @@
 
     @classmethod
     def from_settings(cls, settings: Settings) -> "Daemon":
-        """Return a daemon that is not started yet, as a new incarnation of its host."""
+        """Return a daemon, not started, as a new incarnation of its host."""
         return cls(settings, new_incarnation(HostId(settings.text("host.id"))))
 
     def _build_log(self) -> None:
@@ -150,7 +150,7 @@
         )
 
     def serve(self) -> None:
-        """Run until a planned stop has ended; connections are refused only after that."""
+        """Run until a planned stop has finished; connections are refused only after that."""
         limit_threads()
         start_collecting()
         self.peers.start()
@@ -200,19 +200,19 @@
             if versions != self._applied_versions:
                 self._applied_versions = versions
                 self._update()
-            # Complete is not enough: callers would meet a host that has no pools yet.
+            # Ready only after an update: a complete configuration alone has no pools yet.
             self.updated = self.configuration.complete
             eventlet.sleep(UPDATE_INTERVAL_S)
 
     def _update(self) -> None:
-        """Take a new configuration or host list."""
+        """Apply a new configuration or host list."""
         self.pools.update(self.configuration)
         self.contexts.update(self.configuration)
         listed = {row.peer_address for row in self.hosts.entries() if row.peer_address}
         self.peers.keep_only(listed)
 
     def _request_configuration(self) -> None:
-        """Take the state of the peer that is furthest on, while the log can't give it."""
+        """Adopt the configuration of peers while the log does not provide a complete one."""
         own_id = self.settings.text("host.id")
         others = [row for row in self.hosts.entries() if row.id != own_id and row.peer_address]
         random.shuffle(others)
@@ -220,7 +220,12 @@
             answer = self.peers.ask(row.peer_address, ConfigurationRequest(), PEER_TIMEOUT_S)
             if isinstance(answer, ConfigurationReply) and answer.snapshot is not None:
                 adopted = self.configuration.adopt(answer.snapshot)
-                logger.info("State of %s at %d, taken: %s.", row.id, answer.snapshot.upto, adopted)
+                logger.info(
+                    "Configuration of %s at position %d, adopted: %s.",
+                    row.id,
+                    answer.snapshot.upto,
+                    adopted,
+                )
 
     def _handle_peer_message(self, message: Message) -> Message:
         if isinstance(message, ConfigurationRequest):
@@ -229,7 +234,7 @@
         return self.services.serve_peer(message)
 
     def is_ready(self) -> bool:
-        """Return whether the balancer should send callers here."""
+        """Return whether the load balancer should send requests here."""
         return self.updated and not self.stopping
 
     def is_stopping(self) -> bool:
@@ -237,13 +242,13 @@
         return self.stopping
 
     def stop(self) -> None:
-        """Begin the planned stop; signals call this in the event loop, so it only sets a flag."""
+        """Begin the planned stop; only sets a flag, since signal handlers run in the event loop."""
         self.stopping = True
 
     def _finish_requests(self) -> None:
-        """Serve on for the balancer's lag, then until no request is under way."""
+        """Keep serving for the load balancer's lag, then until no request is active."""
         began = time.monotonic()
-        logger.info("Planned stop. %d requests are under way.", self.gateway.active)
+        logger.info("Planned stop begins. %d requests are active.", self.gateway.active)
         eventlet.sleep(self.settings.number("requests.stop_lag_s"))
         latest = began + self.settings.number("requests.stop_max_s")
         while self.gateway.active and time.monotonic() < latest:
@@ -251,13 +256,13 @@
 
     @property
     def phase(self) -> HostPhase:
-        """Where this host stands in its life."""
+        """Lifecycle phase of this host."""
         if self.stopping:
             return HostPhase.STOPPING
         return HostPhase.READY if self.is_ready() else HostPhase.STARTING
 
     def stats(self) -> Stats:
-        """Return this host's percentiles."""
+        """Return this host's latency percentiles."""
         return stats_from_rows(self.histograms.rows())
 
     def status(self) -> Status:
--- a/libs/daemon/ruddersaddle/gateways.py
+++ b/libs/daemon/ruddersaddle/gateways.py
@@ -1,4 +1,4 @@
-"""The callers' interface over WSGI: models' protocol, plain services by path, health, operators."""
+"""WSGI application: model completions, plain services by path, health and operators' paths."""
 
 import logging
 from collections.abc import Callable, Iterable, Iterator
@@ -55,7 +55,7 @@
 
 
 class HostControl(msgspec.Struct):
-    """What the gateway has to know of its host."""
+    """The host's state and actions that the gateway uses."""
 
     is_ready: Callable[[], bool]
     is_stopping: Callable[[], bool]
@@ -93,8 +93,10 @@
             chunks = self._route(environ, responder)
         except Exception:
             self.active -= 1
-            logger.exception("A request broke.", extra={"request": responder.request})
-            detail = "the host failed; see its log"
+            logger.exception(
+                "Request failed with an unexpected error.", extra={"request": responder.request}
+            )
+            detail = "internal error; see the host's log"
             failure = Failure(Code.INTERNAL, Step.READ, "host", detail, Ran.UNKNOWN)
             return responder.send_failure(failure)
         return _TrackedResponse(chunks, self._count_end)
@@ -238,7 +240,7 @@
         events: Iterator[bytes | Failure],
         request: RequestId,
     ) -> Iterator[bytes]:
-        """Yield a stream's events: the first at once, later ones gathered for a short while."""
+        """Yield a stream's events: the first at once, later ones in short batches."""
         try:
             yield first
             for data in events:
@@ -277,7 +279,7 @@
 
 
 class _TrackedResponse:
-    """A response's chunks; tells when the response has ended, however it ended."""
+    """A response's chunks, with a callback when the response has ended for any reason."""
 
     def __init__(self, chunks: Iterable[bytes], on_end: Callable[[], None]) -> None:
         self.chunks = chunks
@@ -306,7 +308,7 @@
 
 
 def _overloaded() -> Failure:
-    detail = "the host has too many requests at once"
+    detail = "the host has too many concurrent requests"
     return Failure(Code.OVERLOADED, Step.ADMIT, "host", detail, retry_after_s=1.0)
 
 
--- a/libs/daemon/ruddersaddle/generations.py
+++ b/libs/daemon/ruddersaddle/generations.py
@@ -1,4 +1,4 @@
-"""Generations: choose an engine, fetch what is kept, stream, and resume after an engine's death."""
+"""Generations: choose an engine, fetch stored context, stream, and resume if the engine fails."""
 
 import logging
 import time
@@ -23,22 +23,22 @@
 logger = logging.getLogger(__name__)
 
 ATTEMPTS_MAX = 4
-"""Tries to start a stream, first try included; a resume starts the count again."""
+"""Attempts to start a stream, including the first; a resume resets the count."""
 RESUMES_MAX = 4
-"""Resumes of one request."""
+"""Most resumes of one request."""
 RESUME_S = 10.0
-"""A stream that had begun is given this long to go on elsewhere, in seconds."""
+"""Time for an interrupted stream to continue on another engine."""
 NO_ENGINE_S = 5.0
-"""A new request waits this long for a circuit to close before it is refused, in seconds."""
+"""Longest wait of a new request for a circuit to close before it is refused."""
 VERSION_CHANGES_MAX = 8
-"""Engines that may answer one request that they have just changed their weight version."""
+"""Most answers to one request that an engine's weight version has changed."""
 BUSY_PAUSE_S = 0.02
-"""Pause before another engine is looked for when all are busy, in seconds."""
+"""Pause before choosing again when all engines are busy."""
 SLOW_FACTOR = 4.0
 SLOW_FLOOR_S = 1.0
-"""A first token later than its prediction by the factor, and than the floor, counts as overload."""
+"""A first token later than both the floor and the factor times its prediction means overload."""
 PRIORITY_STEP = 100
-"""Priorities of one class; the next class begins after them."""
+"""Number of priorities of one class; the next class begins after them."""
 MS_PER_S = 1000.0
 
 
@@ -87,13 +87,13 @@
         return generation
 
     def published_version(self, model: str) -> str:
-        """Return the weight version in force."""
+        """Return the published weight version of a model."""
         found = self.configuration.get(Model, model)
         return found.version if isinstance(found, Model) else ""
 
 
 class Generation:
-    """One request's stream over as many engines as it takes."""
+    """One request's stream, continued on other engines when one fails."""
 
     def __init__(
         self, generator: Generator, request: PromptRequest, view: PoolView, slot: Slot
@@ -119,7 +119,7 @@
         self._sent: SentRequest | None = None
 
     def keys_of(self, version: str) -> list[BlockKey]:
-        """Return the prompt's chain for a weight version."""
+        """Return the prompt's block chain for a weight version."""
         keys = self._keys_by_version.get(version)
         if keys is None:
             keys = block_keys(self._salt(version), self.request.text)
@@ -132,7 +132,7 @@
         return context_salt(workspace, body.model, version, body.adapter)
 
     def begin(self) -> Failure | None:
-        """Open a stream on the best engine; try others while that is sure not to repeat work."""
+        """Open a stream on the best engine; try others if the failure and the budget allow."""
         failure = self._no_engine_failure()
         while self.attempts < ATTEMPTS_MAX and time.monotonic() < self._deadline:
             opened = self._open_best()
@@ -144,9 +144,10 @@
         return failure
 
     def _may_retry(self, failure: Failure) -> bool:
-        """Return whether another engine may be tried; only tries that cost an engine are counted.
+        """Return whether another engine may be tried, and count the attempt.
 
-        A connection that was never made, and an engine that has changed its weights, cost nothing.
+        An engine that has changed its weights is not counted as an attempt, since it did no work. A
+        failed connection takes nothing from the retry budget for the same reason.
         """
         if failure.code is Code.OTHER_VERSION:
             self._version_changes += 1
@@ -190,7 +191,7 @@
         self.expected_tokens = 0.0
 
     def _apply_engine_version(self, load: Load, failure: Failure) -> None:
-        """Take an engine's word for its weight version, which its lagged report does not have."""
+        """Apply the weight version from an engine's answer, which is newer than its load report."""
         if failure.code is not Code.OTHER_VERSION:
             return
         load.record_version(failure.detail)
@@ -208,7 +209,7 @@
         return published if published in versions or not versions else versions[0]
 
     def _choose(self, prompt: Prompt, stored: StoredChain) -> Choice | None:
-        """Choose among the engines of one weight version, waiting while all are at their limit."""
+        """Choose among the engines of one weight version; wait while all are at their limits."""
         began = time.monotonic()
         while time.monotonic() < self._deadline:
             version = self.version or self._likely_version()
@@ -248,15 +249,15 @@
         )
 
     def _priority(self) -> int:
-        """Return the engine's priority: by class, then by how little the workspace has under way.
+        """Return the priority for the engine: by class, then by the workspace's active requests.
 
-        What waits at an engine so waits in fair turn too.
+        Workspaces with fewer active requests go first, so the engine's queue is fair too.
         """
         active = self.view.queue.count_of(self.request.workspace.id)
         return self.request.limits.priority * PRIORITY_STEP + min(active, PRIORITY_STEP - 1)
 
     def events(self) -> Iterator[bytes | Failure]:
-        """Yield whole events as they arrive; a failure, if any, comes last."""
+        """Yield complete events as they arrive; a failure, if any, comes last."""
         while True:
             data = self.stream.read_some()
             if isinstance(data, Failure):
@@ -303,7 +304,7 @@
         self.generator.histograms.record(measure, workspace, group, elapsed_s * MS_PER_S)
 
     def _resume(self, failure: Failure) -> Failure | None:
-        """Go on from the last token delivered, on another engine of the same weight version."""
+        """Continue after the last delivered token, on another engine of the same weight version."""
         self._close_stream()
         self._end_attempt(failure)
         self.resumes += 1
@@ -312,7 +313,7 @@
         self.attempts = 0
         self._deadline = max(self._deadline, time.monotonic() + RESUME_S)
         logger.info(
-            "Stream of %s is resumed at token %d.",
+            "Resuming the stream of %s at token %d.",
             self.request.id,
             self.tokens,
             extra={"request": self.request.id},
@@ -341,7 +342,7 @@
             self.stream = None
 
     def finish(self) -> None:
-        """End the request: give back what it holds, and keep its context for later."""
+        """End the request: release its resources and save its context in the background."""
         complete = self.stream is not None and self.stream.done
         choice = self.choice
         self.view.unsent_tokens -= self.expected_tokens
--- a/libs/daemon/ruddersaddle/keyed_calls.py
+++ b/libs/daemon/ruddersaddle/keyed_calls.py
@@ -1,8 +1,8 @@
-"""Calls that may not be repeated: claim first, dispatch once, and a `not_run` that is true.
+"""Non-repeatable calls with a key: at most one dispatch, decided by a claim in the log.
 
-The claim goes through the log. Only the attempt whose claim was read back accepted dispatches, and
-only once. `not_run` is said only after this host's void was read back accepted; it carries the
-void's position, which the caller sends back to try the same key again. See docs/at-most-once.md.
+Only an attempt whose claim is read back from the log as accepted dispatches the call, and only
+once. A caller gets `not_run` only after this host's void is read back as accepted. The answer
+carries the position of the void, which the caller sends back to retry the same key.
 """
 
 import logging
@@ -24,18 +24,18 @@
 
 LOG = "log"
 RETRY_AFTER_S = 2.0
-"""When a caller should ask again after an answer that the log could not settle, in seconds."""
+"""Retry delay for callers whose call has no known outcome yet."""
 OWNER_TIMEOUT_S = 1.5
-"""Longest wait for the owner of a key to say that it still runs the call, in seconds."""
+"""Longest wait for an answer from the owner of a key, which may be that the call still runs."""
 ANSWER_WAIT_S = 0.5
-"""An owner that is asked says that it still runs the call after this long, in seconds."""
+"""How long the owner of a key waits for the call before it answers that the call still runs."""
 
 Dispatch = Callable[[ServiceCall], Answer]
 AskOwner = Callable[[Incarnation, AnswerRequest, float], AnswerReply | Failure]
 
 
 class KeyedCall(msgspec.Struct, frozen=True):
-    """A call with its key, the key's date and the retry token that the caller was given."""
+    """A call with its key, the key's date, and the retry token if the caller sent one."""
 
     key: CallKey
     dated: float
@@ -44,12 +44,12 @@
     deadline: float
 
     def remaining_s(self) -> float:
-        """Return the seconds left."""
+        """Return the seconds left until the deadline."""
         return self.deadline - time.monotonic()
 
 
 class KeyedCalls:
-    """This host's keyed calls."""
+    """Runs and answers this host's keyed calls."""
 
     def __init__(
         self,
@@ -71,7 +71,7 @@
         return self.follower.fold
 
     def run(self, keyed: KeyedCall, dispatch: Dispatch, ask: AskOwner) -> Answer:
-        """Run a call at most once, whoever else has its key, and return its answer."""
+        """Run a call at most once across all hosts and return its answer."""
         if self.claims.is_expired(keyed.dated) or keyed.dated < time.time() - self.claims.memory_s:
             return _expired()
         if keyed.dated > time.time() + self.claims.skew_s:
@@ -83,7 +83,7 @@
         if owner is not None:
             return self._ask_owner(keyed, owner, ask)
         if not self._can_claim(keyed):
-            return _claim_unconfirmed("the log can't be reached or read yet")
+            return _claim_unconfirmed("the log is unreachable or not read to its end yet")
         return self._claim(keyed, dispatch, ask)
 
     def _can_claim(self, keyed: KeyedCall) -> bool:
@@ -115,7 +115,7 @@
     def _handle_lost_claim(
         self, keyed: KeyedCall, attempt: RecordId, result: RecordResult | None, ask: AskOwner
     ) -> Answer:
-        """Answer a call whose claim was refused, or not read back in time."""
+        """Answer a call whose claim was rejected or not read back in time."""
         if result is None:
             return self._abandon_attempt(keyed, attempt)
         owner = self.claims.owner_of(keyed.key)
@@ -123,21 +123,21 @@
             return _expired()
         if result.outcome is Outcome.HELD and owner is not None:
             return self._ask_owner(keyed, owner, ask)
-        detail = "an earlier try was given up; send the retry token to try again"
+        detail = "an earlier attempt was abandoned; send the retry token to retry"
         refusal = Failure(Code.KEY_IN_USE, Step.CLAIM, LOG, detail)
         return self._void(keyed, attempt, refusal)
 
     def _abandon_attempt(self, keyed: KeyedCall, attempt: RecordId) -> Answer:
-        """Answer a call whose claim may still land; it will not be dispatched."""
-        failure = _claim_unconfirmed("the claim was not settled in time")
+        """Answer a call whose claim may still be accepted later; the call is not dispatched."""
+        failure = _claim_unconfirmed("the claim was not read back in time")
         if self.appender.down:
-            # The void blocks the claim when the log is back; the caller is not kept waiting.
+            # The void cancels the claim once the log is back; the caller does not wait for it.
             self.appender.post(self._void_record(keyed, attempt))
             return failure
         return self._void(keyed, attempt, failure)
 
     def refuse(self, keyed: KeyedCall, failure: Failure) -> Answer:
-        """Refuse a call before any claim; say `not_run` only if a void proves it of the key."""
+        """Refuse a call before any claim; `not_run` only if an accepted void proves it."""
         if keyed.key in self.answers.by_key or self.claims.owner_of(keyed.key) is not None:
             return failure.with_ran(Ran.UNKNOWN)
         if not self._can_claim(keyed):
@@ -145,7 +145,7 @@
         return self._void(keyed, new_record_id(), failure)
 
     def _void(self, keyed: KeyedCall, attempt: RecordId, failure: Failure) -> Failure:
-        """Void an attempt; return `failure` as `not_run` with a token only once it is read back."""
+        """Void an attempt; return `failure`, as `not_run` with a token if the void is accepted."""
         void = self._void_record(keyed, attempt)
         result = self._append_and_wait(void, self.wait_s)
         if result is None or result.outcome is not Outcome.ACCEPTED:
@@ -157,9 +157,9 @@
         return Void(new_record_id(), keyed.key, attempt, keyed.dated)
 
     def _append_and_wait(self, record: Claim | Void, timeout_s: float) -> RecordResult | None:
-        """Append a record and wait until it is read back; None if that took too long.
+        """Append a record and wait until it is read back; return None on timeout.
 
-        An append whose answer is lost may have taken effect, so the fate counts, not the answer.
+        An append whose answer is lost may have taken effect, so only the record read back counts.
         """
         self.follower.expect(record.id)
         try:
@@ -170,7 +170,7 @@
             self.appender.withdraw(record)
 
     def _ask_owner(self, keyed: KeyedCall, owner: Incarnation, ask: AskOwner) -> Answer:
-        """Get the answer from the process that holds the key; gone means `unknown` at once."""
+        """Request the answer from the owner of the key; `unknown` at once if it is gone."""
         if owner == self.incarnation:
             self._release_late_claim(keyed.key)
             return _owner_gone()
@@ -186,7 +186,7 @@
         return _still_running()
 
     def serve(self, request: AnswerRequest) -> AnswerReply:
-        """Answer another host that asks for the answer of a key which this process holds."""
+        """Handle another host's request for the answer of a key that this process holds."""
         if request.owner != self.incarnation:
             return AnswerReply(failure=_owner_gone())
         if request.key not in self.answers.by_key:
@@ -196,16 +196,16 @@
         return to_message(answer)
 
     def _release_late_claim(self, key: CallKey) -> None:
-        """Free a key whose claim landed after this process had given it up."""
+        """Release a key whose claim was accepted after this process had abandoned it."""
         state = self.claims.by_key.get(key)
         if state is None or state.owner != self.incarnation or key in self.answers.by_key:
             return
-        logger.info("A claim that was given up has landed. It is freed.")
+        logger.info("An abandoned claim was accepted late and is released.")
         self.appender.post(Void(new_record_id(), key, state.holder, state.dated))
 
 
 def to_message(answer: Answer | None) -> AnswerReply:
-    """Return an answer, or None for one that is still running, as a message."""
+    """Return an answer, or None for a call that is still running, as a message."""
     if answer is None:
         return AnswerReply()
     if isinstance(answer, Failure):
@@ -219,7 +219,7 @@
 
 
 def _claim_unconfirmed(detail: str) -> Failure:
-    text = f"this try was not run, an earlier one may have been: {detail}"
+    text = f"this attempt was not run, an earlier one may have been: {detail}"
     return Failure(Code.LOG_UNAVAILABLE, Step.CLAIM, LOG, text, Ran.UNKNOWN, RETRY_AFTER_S)
 
 
@@ -229,5 +229,5 @@
 
 
 def _owner_gone() -> Failure:
-    detail = "the process that held the key is gone, or gave the call up"
+    detail = "the process that held the key is gone or has abandoned the call"
     return Failure(Code.PEER_GONE, Step.CLAIM, "host", detail, Ran.UNKNOWN, RETRY_AFTER_S)
--- a/libs/daemon/ruddersaddle/keys.py
+++ b/libs/daemon/ruddersaddle/keys.py
@@ -1,4 +1,4 @@
-"""New keys for calls that may not be repeated: UUIDs of version 7, which hold their time."""
+"""New idempotency keys for non-repeatable calls: UUIDs of version 7, which contain their time."""
 
 import secrets
 import time
@@ -14,7 +14,7 @@
 
 
 def new_key(seconds_ago: float = 0.0) -> str:
-    """Return a key that is dated so many seconds ago (RFC 9562, section 5.7)."""
+    """Return a key dated `seconds_ago` seconds in the past (RFC 9562, section 5.7)."""
     milliseconds = int((time.time() - seconds_ago) * MS_PER_S)
     middle = secrets.randbits(MIDDLE_BITS) << MIDDLE_SHIFT
     last = secrets.randbits(LAST_BITS)
--- a/libs/daemon/ruddersaddle/messages.py
+++ b/libs/daemon/ruddersaddle/messages.py
@@ -1,4 +1,4 @@
-"""Messages between the system's own processes."""
+"""Messages between hosts."""
 
 import msgspec
 from ruddersaddle_base.failures import Failure
@@ -8,7 +8,7 @@
 
 
 class ServiceCall(msgspec.Struct, frozen=True):
-    """A call of a plain service, as a host passes it on."""
+    """A call to a plain service as a host forwards it."""
 
     request: RequestId
     pool: str
@@ -19,12 +19,12 @@
     seconds: float
 
     def fingerprint(self) -> tuple[str, str, bytes]:
-        """Return what has to be the same when the same key comes again."""
+        """Return what must be identical when a key is used again."""
         return self.method, self.path, self.body
 
 
 class AnswerRequest(msgspec.Struct, frozen=True, tag="ask_answer"):
-    """Asks the process that holds a key for the call's answer."""
+    """Requests a call's answer from the process that holds its key."""
 
     owner: Incarnation
     key: CallKey
@@ -32,7 +32,7 @@
 
 
 class TicketedCallRequest(msgspec.Struct, frozen=True, tag="ask_ticketed"):
-    """Asks the process that a ticket names to run the call, or for its answer."""
+    """Requests the process that issued a ticket to run the call, or to return its answer."""
 
     owner: Incarnation
     workspace: WorkspaceId
@@ -41,7 +41,7 @@
 
 
 class ConfigurationRequest(msgspec.Struct, frozen=True, tag="ask_configuration"):
-    """Asks for the folded configuration."""
+    """Requests the folded configuration."""
 
 
 class AnswerReply(msgspec.Struct, frozen=True, tag="answer"):
@@ -52,7 +52,7 @@
 
 
 class ConfigurationReply(msgspec.Struct, frozen=True, tag="configuration"):
-    """The folded configuration, or None from a host that has none."""
+    """The folded configuration; None if the host has no complete one."""
 
     snapshot: Snapshot | None
 
--- a/libs/daemon/ruddersaddle/orders.py
+++ b/libs/daemon/ruddersaddle/orders.py
@@ -1,8 +1,8 @@
 """Orders to engines: one lease holder per pool keeps them on the published weight version.
 
 The lease and its fence come from the log. Engines that check fences refuse a stale holder. For
-the others the holder reads the lease stream to its end before each order, which leaves a pause
-between that read and the order as the only risk.
+other engines the holder reads the lease stream to its end before each order; what remains is the
+risk that the process stalls between that read and the order.
 """
 
 import logging
@@ -25,16 +25,16 @@
 logger = logging.getLogger(__name__)
 
 CHECK_INTERVAL_S = 0.5
-"""Pause between looks at what there is to order, in seconds."""
+"""Interval between checks for engines that need an order."""
 CONCURRENT_LOADS_MAX = 2
-"""Engines that load weights at the same time; more of them slow each other."""
+"""Engines that load weights at the same time; more would slow each other down."""
 ORDER_TIMEOUT_S = 10.0
 RENEW_SHARE = 0.5
 """A lease is renewed once this share of it has passed."""
 
 
 class OrderCounts:
-    """Counts of orders given and refused."""
+    """Counts of orders given, refused by engines, and withheld for lack of a lease."""
 
     def __init__(self) -> None:
         self.given = 0
@@ -43,7 +43,7 @@
 
 
 class OrderTask:
-    """Takes the lease of each pool that needs an order, gives orders, and releases it."""
+    """Acquires the lease of each pool that needs orders, sends them, and releases the lease."""
 
     def __init__(
         self,
@@ -71,7 +71,7 @@
         return self.follower.fold
 
     def held_pools(self) -> list[PoolId]:
-        """Return the pools whose lease this process holds, as far as it knows."""
+        """Return the pools whose lease this process holds according to the records read so far."""
         by_pool = self.leases.by_pool.items()
         return [pool for pool, lease in by_pool if lease.holder == self.incarnation]
 
@@ -101,9 +101,9 @@
         return [load.address for load in loads if load.version not in ("", model.version)]
 
     def _confirmed_outdated_engines(self, view: PoolView, model: Model) -> list[str]:
-        """Return those behind by a report that was measured since we took the lease.
+        """Return the engines that are outdated by a report from after the lease was acquired.
 
-        An older report may be from before an order of the last holder, and would load twice.
+        An older report may predate an order of the last holder, and the engine would load twice.
         """
         since = self._held_since[view.pool.id]
         outdated = self._outdated_engines(view, model)
@@ -112,7 +112,7 @@
         ]
 
     def _acquire_lease(self, pool: PoolId) -> Position | None:
-        """Return the fence of our lease, taking or renewing it; None while another holds it."""
+        """Acquire or renew the lease and return its fence; None while another process holds it."""
         length_s = self.settings.number("leases.length_s")
         lease = self.leases.by_pool.get(pool)
         is_own = lease is not None and lease.holder == self.incarnation
@@ -131,7 +131,7 @@
             return None
         if not is_own or pool not in self._held_since:
             self._held_since[pool] = time.monotonic()
-        # Our own end of the lease counts from before the append, so it is never late.
+        # Counted from before the append, so that the local expiry is never late.
         self._lease_until[pool] = began + length_s
         return result.position
 
@@ -154,7 +154,7 @@
             eventlet.spawn(self._send_order, view, address, Order(model.id, model.version, fence))
 
     def _send_order(self, view: PoolView, address: str, order: Order) -> None:
-        """Give one order, if the lease is still ours as of the end of its stream."""
+        """Send one order, if this process still holds the lease at the end of its stream."""
         if not view.pool.checks_fences and not self._still_holds_lease(view.pool.id, order.fence):
             self.counts.withheld += 1
             self._ordered_at.pop(address, None)
@@ -167,7 +167,7 @@
             logger.warning("Order to %s failed. %s", address, done.detail)
         elif done:
             self.counts.given += 1
-            logger.info("Engine %s loads version %s.", address, order.version)
+            logger.info("Engine %s loads weight version %s.", address, order.version)
         else:
             self.counts.refused += 1
             logger.warning("Engine %s refused a stale fence.", address)
--- a/libs/daemon/ruddersaddle/pools.py
+++ b/libs/daemon/ruddersaddle/pools.py
@@ -1,4 +1,4 @@
-"""This host's view of each pool: its upstreams, their load, and the queue for their slots."""
+"""This host's view of each pool: upstreams, their load, and the queue for their slots."""
 
 import logging
 import time
@@ -22,18 +22,18 @@
 logger = logging.getLogger(__name__)
 
 EVENT_WAIT_S = 5.0
-"""Longest wait of one read of an engine's cache events, in seconds."""
+"""Longest wait of one read of an engine's cache events."""
 EVENT_RETRY_S = 0.5
 IDLE_WAKE_S = 0.1
 WAKE_S = 0.02
-"""Pause between looks whether the backlog lets waiting requests go, in seconds."""
+"""Interval between checks whether the backlog allows waiting requests to proceed."""
 MISSING_SMOOTHING = 0.1
 CONTROL_READ_S = 8.0
-"""Longest pause in an engine's answer on the control path, in seconds."""
+"""Longest gap in an engine's answer to a control request."""
 
 
 class PoolView:
-    """One pool as this host sees it."""
+    """This host's view of one pool."""
 
     def __init__(self, pool: Pool, settings: Settings) -> None:
         self.pool = pool
@@ -50,12 +50,12 @@
         self.queue = FairQueue(self.capacity, self.is_open)
 
     def capacity(self) -> int:
-        """Return how many calls the pool may have in flight from this host."""
+        """Return the maximum number of calls in flight from this host to the pool."""
         usable = [load for load in self.loads() if load.may_accept_work]
         return sum(int(load.limit.limit) for load in usable)
 
     def is_open(self) -> bool:
-        """Return whether the engines' predicted backlog lets more work go to them."""
+        """Return whether the engines' estimated prefill backlog allows more work."""
         if self.pool.kind is PoolKind.SERVICE or self.backlog_max_s <= 0:
             return True
         usable = [load for load in self.loads() if load.may_accept_work]
@@ -66,13 +66,13 @@
         return waiting + self.unsent_tokens < self.backlog_max_s * speed
 
     def record_granted(self, tokens: int) -> float:
-        """Count a request that has its slot and is not sent yet; return what was counted."""
+        """Add a request that has a slot but is not sent yet; return the expected missing tokens."""
         expected_tokens = tokens * self.missing_share
         self.unsent_tokens += expected_tokens
         return expected_tokens
 
     def record_sent(self, expected_tokens: float, missing: int, tokens: int) -> None:
-        """Take a request that is sent now off again, and learn how much was missing."""
+        """Remove a request that is being sent, and update the estimated share of missing tokens."""
         self.unsent_tokens = max(0.0, self.unsent_tokens - expected_tokens)
         share = missing / max(1, tokens)
         self.missing_share += MISSING_SMOOTHING * (share - self.missing_share)
@@ -82,7 +82,7 @@
         return self.load_by_address.values()
 
     def update(self, pool: Pool, hosts: HostList) -> None:
-        """Take a new configuration and host list; start and end the tasks of each upstream."""
+        """Apply a new configuration and host list; start and end the tasks of upstreams."""
         self.pool = pool
         wanted = {upstream.address: upstream for upstream in pool.upstreams}
         for address in set(self.load_by_address) - set(wanted):
@@ -95,7 +95,7 @@
         self.chooser.hosts = max(1, len(hosts.entries()))
 
     def assign_event_homes(self, events: list[Event]) -> None:
-        """Work out on which engines the templates of marked events are at home."""
+        """Assign the templates of published events to their home engines."""
         events_of_pool = [event for event in events if event.model == self.pool.model]
         copies = {event.template: event.copies for event in events_of_pool}
         upstreams = [load.upstream for load in self.loads() if not load.leaving]
@@ -140,7 +140,10 @@
                 continue
             for event in page.events:
                 if event.sequence != expected:
-                    logger.info("Cache events of %s have a gap.", load.upstream)
+                    logger.info(
+                        "Cache events of %s have a gap; reading the complete listing.",
+                        load.upstream,
+                    )
                     epoch, expected = self._resync(load, client)
                     break
                 load.apply_event(event.stored, event.key)
@@ -158,17 +161,21 @@
     def acquire_slot(
         self, workspace: Workspace, cost: float, remaining_s: float, urgency: float = 1.0
     ) -> "Slot | Failure":
-        """Wait for a slot in fair turn; refuse at once what can't be in time."""
+        """Wait for a slot in the fair queue; refuse at once if none is expected in time."""
         waiting = self.queue.waiting_by_workspace.get(workspace.id, 0)
         predicted_s = self.queue.predict_wait_s(workspace.id)
         if waiting >= workspace.concurrent_max:
-            detail = f"{waiting} requests of the workspace wait already"
+            detail = f"{waiting} requests of the workspace are waiting already"
             return self._refuse(Code.OVERLOADED, detail, predicted_s)
         if predicted_s >= remaining_s:
-            detail = f"a slot is {predicted_s:.1f} s away, the deadline {remaining_s:.1f} s"
+            detail = (
+                f"a slot is expected in {predicted_s:.1f} s, the deadline is in {remaining_s:.1f} s"
+            )
             return self._refuse(Code.OVERLOADED, detail, predicted_s)
         if not self.queue.acquire(workspace.id, workspace.weight * urgency, cost, remaining_s):
-            return self._refuse(Code.DEADLINE, "no slot came free in time", predicted_s)
+            return self._refuse(
+                Code.DEADLINE, "no slot became free before the deadline", predicted_s
+            )
         return Slot(self.queue, workspace.id)
 
     def _refuse(self, code: Code, detail: str, retry_after_s: float) -> Failure:
@@ -186,14 +193,14 @@
         self.released = False
 
     def release(self) -> None:
-        """Give the slot back, once."""
+        """Release the slot; further calls have no effect."""
         if not self.released:
             self.released = True
             self.queue.release(self.workspace, time.monotonic() - self.since)
 
 
 class Pools:
-    """All pools, kept as the configuration and the host list say."""
+    """All pools according to the configuration and the host list."""
 
     def __init__(self, settings: Settings, hosts: HostList) -> None:
         self.settings = settings
@@ -201,7 +208,7 @@
         self.by_id: dict[PoolId, PoolView] = {}
 
     def update(self, configuration: Configuration) -> None:
-        """Take the newest configuration and host list."""
+        """Apply the newest configuration and host list."""
         wanted = {pool.id: pool for pool in configuration.values(Pool)}
         for removed in set(self.by_id) - set(wanted):
             self.by_id.pop(removed).load_by_address.clear()
@@ -213,7 +220,7 @@
             self.by_id[pool.id].assign_event_homes(configuration.values(Event))
 
     def _run_wakeups(self, view: PoolView) -> None:
-        """Let waiting requests go as loads, circuits and limits change."""
+        """Wake waiting requests as loads, circuits and limits change."""
         while self.by_id.get(view.pool.id) is view:
             view.queue.wake()
             eventlet.sleep(WAKE_S if view.queue.waiting else IDLE_WAKE_S)
--- a/libs/daemon/ruddersaddle/prefetches.py
+++ b/libs/daemon/ruddersaddle/prefetches.py
@@ -1,4 +1,4 @@
-"""Work before a marked event: its template is computed, kept and spread before callers come."""
+"""Prefetching for published events: engines get the template's context before callers arrive."""
 
 import logging
 import string
@@ -22,15 +22,15 @@
 logger = logging.getLogger(__name__)
 
 CHECK_INTERVAL_S = 0.5
-"""Pause between looks at the marked events, in seconds."""
+"""Interval between checks for events that are due."""
 BACKGROUND_PRIORITY = 999
 
 
 class Prefetcher:
-    """Prepares marked events.
+    """Prepares published events.
 
-    The first host by rendezvous hash over the live hosts does an event's work; if two hosts
-    disagree for a moment, the work is done twice and no harm comes of it.
+    The first host by rendezvous hash over the live hosts prepares an event. If two hosts disagree
+    about the live hosts, both prepare it, which is harmless.
     """
 
     def __init__(
@@ -81,7 +81,7 @@
                 eventlet.spawn(self._preload, event, template.workspace, text, view, load)
 
     def _target_engines(self, event: Event, view: PoolView) -> list[Load]:
-        """Return the engines that the event's template is at home on and that take work."""
+        """Return the home engines of the event's template that accept work."""
         homes = view.homes_by_template.get(event.template, ())
         loads = [load for load in view.loads() if load.upstream in homes]
         return [load for load in loads if load.may_accept_work and load.version]
@@ -89,7 +89,7 @@
     def _preload(
         self, event: Event, workspace: WorkspaceId, text: str, view: PoolView, load: Load
     ) -> None:
-        """Bring the template's context into one engine: fetched if it is kept, else computed."""
+        """Load the template's context into one engine: fetched if stored, otherwise computed."""
         salt = context_salt(workspace, event.model, load.version)
         keys = block_keys(salt, text)
         engine = view.engine_by_address[load.address]
@@ -116,12 +116,12 @@
                 break
         stream.finish()
         self.prepared += 1
-        logger.info("Event %s is prepared on %s.", event.id, load.upstream)
+        logger.info("Event %s is prepared on engine %s.", event.id, load.upstream)
         self.contexts.save(engine, request.id)
 
 
 def shared_prefix(template: Template, event: Event) -> str:
-    """Return the template's text up to the first parameter that the event leaves open."""
+    """Return the template's text up to the first parameter without a value in the event."""
     text = string.Template(template.text).safe_substitute(event.arguments)
     missing_names = [name for name in template.parameters if name not in event.arguments]
     ends = [text.find(mark) for name in missing_names for mark in (f"${name}", f"${{{name}}}")]
--- a/libs/daemon/ruddersaddle/programs.py
+++ b/libs/daemon/ruddersaddle/programs.py
@@ -1,14 +1,14 @@
-"""Entry point of the executable: makes the daemon's process green before anything is imported."""
+"""Entry point of the executable: applies eventlet's monkey patching before other imports."""
 
 import sys
 
-import ruddersaddle_base  # noqa: F401  (quiets the notice that the next import would print)
+import ruddersaddle_base  # noqa: F401  (suppresses the warning of the next import)
 
 SERVE = "serve"
 
 
 def main() -> None:
-    """Run one command; only `serve` runs on green threads."""
+    """Run one command; only `serve` runs on eventlet's green threads."""
     if len(sys.argv) > 1 and sys.argv[1] == SERVE:
         import eventlet
 
--- a/libs/daemon/ruddersaddle/published_files.py
+++ b/libs/daemon/ruddersaddle/published_files.py
@@ -1,4 +1,4 @@
-"""Published configuration as operators write it: an INI file, one section for each entry.
+"""Configuration files of operators: INI, with one section for each entry.
 
 A section is `[kind:id]`. Lists are separated by commas. An upstream is `id@IP:port@hall`, a path
 rule is `prefix once` or `prefix repeat`. A section with `delete = yes` deletes its entry.
@@ -27,14 +27,14 @@
 
 
 class DesiredEntry(msgspec.Struct, frozen=True):
-    """One entry as a file wants it; None deletes it."""
+    """The desired value of one entry; None deletes the entry."""
 
     key: EntryKey
     value: Value | None
 
 
 def read_published(path: str) -> list[DesiredEntry] | list[Problem]:
-    """Return the entries that a file wants, or every problem with its place."""
+    """Return the entries of a file, or all problems with their lines."""
     parser = configparser.ConfigParser(interpolation=None)
     try:
         text = Path(path).read_text(encoding="utf-8")
@@ -130,7 +130,7 @@
 
 
 def format_published(values: list[Value]) -> str:
-    """Return values in the form of a file."""
+    """Return values as the text of a configuration file."""
     return "\n".join(_format_value(value) for value in values)
 
 
--- a/libs/daemon/ruddersaddle/publishers.py
+++ b/libs/daemon/ruddersaddle/publishers.py
@@ -1,7 +1,7 @@
-"""Publishing by operators: a change ends accepted, rejected or unknown, and the word is true.
+"""Publishing of configuration changes by operators; the outcome that is reported is always true.
 
-The operator's own process appends the change and reads the log until the change's fate is there.
-Only that fate counts: an answer of the log that was lost says nothing.
+The operator's process appends the change and reads the log until it finds the change's result.
+Only that result counts: a lost answer to the append does not tell whether it took effect.
 """
 
 import time
@@ -23,11 +23,11 @@
 
 POLL_S = 0.1
 IN_FORCE_TIMEOUT_S = 11.0
-"""Longest wait for a change to be in force everywhere, in seconds."""
+"""Longest wait for a change to be in force on every live host."""
 
 
 class PublishOutcome(Enum):
-    """How a change ended."""
+    """Outcome of publishing a change."""
 
     ACCEPTED = "accepted"
     REJECTED = "rejected"
@@ -35,7 +35,7 @@
 
 
 class Published(msgspec.Struct):
-    """What the operator is told of a change."""
+    """Outcome of a change as it is shown to the operator."""
 
     word: PublishOutcome
     change: RecordId
@@ -47,7 +47,7 @@
 
 
 class Publisher:
-    """One operator's connection to the log and to the host list."""
+    """An operator's client of the log and of the host list."""
 
     def __init__(self, log_address: str, list_address: str, timeout_s: float) -> None:
         self.client = LogClient(log_address, timeout_s)
@@ -57,11 +57,11 @@
         self.timeout_s = timeout_s
 
     def read(self) -> bool:
-        """Read the configuration as it stands; return whether the log answered."""
+        """Read the current configuration; return whether the log answered."""
         return self.follower.read_to_end()
 
     def edits_for(self, wanted: list[DesiredEntry]) -> list[Edit]:
-        """Return the edits that make the present configuration hold what is wanted."""
+        """Return the edits that bring the current configuration to the desired entries."""
         edits = []
         for each in wanted:
             entry = self.configuration.by_key.get(each.key)
@@ -71,15 +71,15 @@
         return edits
 
     def publish(self, author: str, edits: list[Edit], wait_s: float) -> Published:
-        """Append a change and tell how it ended, within `wait_s` seconds."""
+        """Append a change and return its outcome, `unknown` after `wait_s` seconds."""
         change = Change(new_record_id(), author, tuple(edits))
         reply = self.client.append(Stream.CONFIGURATION, Batch((change,)))
         if isinstance(reply, Failure) and reply.ran is Ran.NOT_RUN:
-            reason = f"the log was not reached: {reply.detail}"
+            reason = f"the log service was not reached: {reply.detail}"
             return Published(PublishOutcome.REJECTED, change.id, None, reason)
         result = self._wait_for_result(change.id, time.monotonic() + wait_s)
         if result is None:
-            reason = f"not read back in {wait_s:g} s; see `config show --change {change.id}`"
+            reason = f"not read back within {wait_s:g} s; see `config show --change {change.id}`"
             return Published(PublishOutcome.UNKNOWN, change.id, None, reason)
         accepted = result.outcome is Outcome.ACCEPTED
         word = PublishOutcome.ACCEPTED if accepted else PublishOutcome.REJECTED
@@ -94,7 +94,7 @@
             time.sleep(POLL_S)
 
     def wait_until_in_force(self, published: Published) -> Published:
-        """Wait until every live host has the change in force; return how many have."""
+        """Wait until the change is in force on every live host; return how many have it."""
         began = time.monotonic()
         while True:
             self.hosts.refresh()
@@ -120,7 +120,7 @@
 def call_operator(
     address: str, method: str, path: str, timeout_s: float, key: str = ""
 ) -> bytes | Failure:
-    """Call an operators' path of one host."""
+    """Call an operators' endpoint of one host."""
     headers = {"Authorization": f"Bearer {key}"} if key else {}
     connections = Connections(address, timeout_s, timeout_s)
     reply = connections.call(method, path, b"", headers)
--- a/libs/daemon/ruddersaddle/replays.py
+++ b/libs/daemon/ruddersaddle/replays.py
@@ -1,7 +1,7 @@
-"""Replays a trace's arrivals against running hosts and checks the outcomes that can be seen there.
+"""Replays a trace's arrivals against running hosts and checks the outcomes visible to callers.
 
-Recorded traces hold no text, so each context gets text of its own of the recorded size. Faults are
-for a bench to bring about; they are counted and passed over here.
+Recorded traces contain no text, so each context gets generated text of the recorded size. Faults in
+a trace are injected by benches; they are counted but not injected here.
 """
 
 import configparser
@@ -28,7 +28,7 @@
 
 
 class ArrivalResult(msgspec.Struct):
-    """One arrival and what came back: the status, 0 for none, and whether it was whole."""
+    """One arrival and its response: status (0 without a response) and whether it was complete."""
 
     arrival: Arrival
     status: int
@@ -37,7 +37,7 @@
 
 
 class ReplayReport(msgspec.Struct):
-    """What a replay gave; outcomes that can't be seen from here are named as not judged."""
+    """Results of a replay; expected outcomes that callers can't see are listed in `not_judged`."""
 
     arrivals: int
     answered_prompts: int
@@ -50,7 +50,7 @@
 
 
 def read_caller_keys(path: str) -> dict[str, str] | Problem:
-    """Return callers' keys by workspace from an INI file's `[keys]` section."""
+    """Return the callers' keys by workspace from the `[keys]` section of an INI file."""
     parser = configparser.ConfigParser(interpolation=None)
     try:
         parser.read_string(Path(path).read_text(encoding="utf-8"), source=path)
@@ -62,7 +62,7 @@
 
 
 class TraceReplay:
-    """One replay against the hosts at some addresses, each in turn."""
+    """One replay against hosts, which are used in round-robin order."""
 
     def __init__(self, addresses: list[str], key_by_workspace: dict[str, str], model: str) -> None:
         self.addresses = addresses
@@ -71,7 +71,7 @@
         self.http = urllib3.PoolManager(maxsize=THREADS, retries=False, timeout=TIMEOUT_S)
 
     def run(self, lines: list[TraceLine]) -> ReplayReport:
-        """Send every arrival at its time and report."""
+        """Send every arrival at its time and return the report."""
         arrivals = [line for line in lines if isinstance(line, Arrival)]
         began = time.monotonic()
         with ThreadPoolExecutor(THREADS) as pool:
@@ -117,7 +117,7 @@
 
 
 def report_replay(sent: list[ArrivalResult], lines: list[TraceLine]) -> ReplayReport:
-    """Return a replay's counts and how its stated outcomes came out."""
+    """Return the counts of a replay and the expected outcomes that were missed."""
     prompts = [each for each in sent if each.arrival.path == COMPLETIONS]
     answered = [each for each in prompts if each.complete]
     counts = {
--- a/libs/daemon/ruddersaddle/replies.py
+++ b/libs/daemon/ruddersaddle/replies.py
@@ -1,4 +1,4 @@
-"""Whole replies of models, put together from a stream's events for callers who don't stream."""
+"""Complete replies, assembled from a stream's events for callers that don't stream."""
 
 import msgspec
 from ruddersaddle_base.codecs import decode_json
@@ -10,13 +10,13 @@
 
 
 class Delta(msgspec.Struct, frozen=True):
-    """The part of a chat's message that one event adds."""
+    """The part of a chat message that one event adds."""
 
     content: str = ""
 
 
 class EventChoice(msgspec.Struct):
-    """What one event adds: text for a completion, a delta for a chat."""
+    """The content of one event: text for a completion, a delta for a chat."""
 
     text: str = ""
     delta: Delta = Delta()
@@ -24,7 +24,7 @@
 
 
 class Usage(msgspec.Struct, frozen=True):
-    """Tokens of a whole answer; cached ones were not computed again."""
+    """Token counts of a complete answer; cached tokens were not recomputed."""
 
     prompt_tokens: int = 0
     cached_tokens: int = 0
@@ -41,14 +41,14 @@
 
 
 class ChatMessage(msgspec.Struct):
-    """The assistant's whole message."""
+    """The assistant's complete message."""
 
     content: str
     role: str = "assistant"
 
 
 class CompletionChoice(msgspec.Struct):
-    """A completion's whole text."""
+    """A completion's complete text."""
 
     text: str
     finish_reason: str | None
@@ -56,7 +56,7 @@
 
 
 class ChatChoice(msgspec.Struct):
-    """A chat's whole message."""
+    """A chat's complete message."""
 
     message: ChatMessage
     finish_reason: str | None
@@ -64,7 +64,7 @@
 
 
 class ReplyBody(msgspec.Struct):
-    """A whole answer in the models' protocol."""
+    """A complete answer in the callers' API."""
 
     id: str
     object: str
@@ -74,13 +74,13 @@
 
 
 class CompleteReply(msgspec.Struct):
-    """A whole answer, ready to send."""
+    """A complete answer, ready to send."""
 
     body: ReplyBody
 
 
 def read_events(data: bytes) -> list[TokenEvent] | Failure:
-    """Return the typed events of a stream's bytes."""
+    """Parse the events of a stream."""
     events = []
     for frame in data.split(EVENT_END):
         if not frame:
@@ -93,7 +93,7 @@
 
 
 def join_events(data: bytes, request: str, model: str, chat: bool) -> CompleteReply | Failure:
-    """Return the whole answer that a stream's events make up."""
+    """Return the complete answer that a stream's events add up to."""
     events = read_events(data)
     if isinstance(events, Failure):
         return events
--- a/libs/daemon/ruddersaddle/reports.py
+++ b/libs/daemon/ruddersaddle/reports.py
@@ -1,11 +1,11 @@
-"""What a host tells operators of itself: status, percentiles, metrics as text."""
+"""A host's reports to operators: status, latency percentiles, and metrics as text."""
 
 import msgspec
 from ruddersaddle_base.histograms import HistogramRow
 
 
 class PoolStatus(msgspec.Struct):
-    """One upstream as this host sees it."""
+    """This host's view of one upstream."""
 
     pool: str
     upstream: str
@@ -19,7 +19,7 @@
 
 
 class LinkStatus(msgspec.Struct):
-    """The link to one store host; bytes, bytes a second and seconds."""
+    """The link to one store host, in bytes, bytes per second and seconds."""
 
     address: str
     up: bool
@@ -57,7 +57,7 @@
 
 
 class StatsRow(msgspec.Struct):
-    """Percentiles of one measure for a workspace and class, in milliseconds."""
+    """Percentiles of one measure for a workspace and priority class, in milliseconds."""
 
     measure: str
     workspace: str
@@ -69,19 +69,19 @@
 
 
 class Stats(msgspec.Struct):
-    """One host's percentiles."""
+    """One host's latency percentiles."""
 
     rows: list[StatsRow]
 
 
 class Accepted(msgspec.Struct):
-    """The answer to an order that a host carries out in the background."""
+    """The answer to a health check or an operators' command: the resulting state."""
 
     state: str
 
 
 def stats_from_rows(rows: list[HistogramRow]) -> Stats:
-    """Return histogram rows as a message."""
+    """Return histogram rows as a `Stats` message."""
     found = []
     for row in rows:
         p50, p95, p99 = row.by_percentile.values()
@@ -91,7 +91,7 @@
 
 
 def format_metrics(status: Status, stats: Stats) -> str:
-    """Return metrics in the usual text form."""
+    """Return metrics in the Prometheus text format."""
     lines = [f"ruddersaddle_active_requests {status.active}"]
     lines += [f"ruddersaddle_{name}_total {value}" for name, value in status.counts.items()]
     lines.append(f"ruddersaddle_configuration_position {status.configuration_position}")
--- a/libs/daemon/ruddersaddle/responses.py
+++ b/libs/daemon/ruddersaddle/responses.py
@@ -1,4 +1,4 @@
-"""Responses to callers: statuses, the one shape of errors, and headers."""
+"""Responses to callers: status lines, the error body, and headers."""
 
 import math
 from collections.abc import Callable, Iterable
@@ -32,7 +32,7 @@
 
 
 class ErrorBody(msgspec.Struct, frozen=True):
-    """The one shape of errors, inside `{"error": …}`."""
+    """The body of every error, inside `{"error": …}`."""
 
     code: str
     step: str
@@ -45,13 +45,13 @@
 
 
 class ErrorEnvelope(msgspec.Struct, frozen=True):
-    """What a caller gets in place of an answer."""
+    """The response body of a failed request."""
 
     error: ErrorBody
 
 
 def error_envelope(failure: Failure, request: RequestId) -> ErrorEnvelope:
-    """Return a failure as callers see it."""
+    """Return the response body for a failure."""
     body = ErrorBody(
         failure.code.value,
         failure.step.value,
@@ -66,7 +66,7 @@
 
 
 class Responder:
-    """Starts one request's response; while the host stops, it ends the connection too."""
+    """Starts one request's response; closes the connection while the host is stopping."""
 
     def __init__(
         self, start: StartResponse, request: RequestId, stopping: bool, has_key: bool
@@ -77,7 +77,7 @@
         self.has_key = has_key
 
     def headers(self, kind: str) -> list[tuple[str, str]]:
-        """Return the headers that every response has."""
+        """Return the headers of every response."""
         headers = [("Content-Type", kind), ("Request-Id", self.request)]
         if self.stopping:
             headers.append(("Connection", "close"))
@@ -93,15 +93,15 @@
         return [data]
 
     def send_refusal(self, failure: Failure) -> Iterable[bytes]:
-        """Respond to a request that is refused before anything is known of its key.
+        """Respond to a request that is refused before the state of its key is known.
 
-        `not_run` is a statement about the key: an earlier try with it may be under way elsewhere,
-        so a request that bears one is told `unknown`.
+        `not_run` is a statement about the key. An earlier attempt with the key may be running on
+        another host, so the answer to a request with a key is `unknown`.
         """
         return self.send_failure(failure.with_ran(Ran.UNKNOWN) if self.has_key else failure)
 
     def send_failure(self, failure: Failure) -> Iterable[bytes]:
-        """Respond with a failure, at once, with when to come back."""
+        """Respond with a failure, including the retry delay and the retry token."""
         headers = self.headers(JSON_TYPE)
         if failure.retry_after_s > 0:
             headers.append(("Retry-After", str(math.ceil(failure.retry_after_s))))
@@ -118,5 +118,5 @@
 
 
 def encode_error_event(failure: Failure, request: RequestId) -> bytes:
-    """Return a failure as the last event of a stream that had begun."""
+    """Return a failure as the last event of a stream that has already begun."""
     return b"data: " + encode_json(error_envelope(failure, request)) + b"\n\n"
--- a/libs/daemon/ruddersaddle/service_calls.py
+++ b/libs/daemon/ruddersaddle/service_calls.py
@@ -1,4 +1,4 @@
-"""Calls of plain services: which upstream, and what may be tried again."""
+"""Calls of plain services: choice of the upstream, and retries."""
 
 import itertools
 
@@ -16,7 +16,7 @@
 
 
 class ServiceCaller:
-    """Passes calls on to the upstreams of service pools."""
+    """Forwards calls to the upstreams of service pools."""
 
     def __init__(self, settings: Settings, pools: Pools) -> None:
         self.connect_s = settings.number("routing.connect_s")
@@ -24,15 +24,15 @@
         self._turn = itertools.count()
 
     def dispatch_once(self, call: ServiceCall) -> Answer:
-        """Run a call that may not be repeated.
+        """Run a non-repeatable call.
 
-        Only a connection that was never made may be tried on another upstream: once a byte has
-        left, the outcome is the upstream's answer or `unknown`.
+        It is retried on another upstream only if no connection was made: once a byte has been sent,
+        the outcome is the upstream's answer or `unknown`.
         """
         return self._dispatch(call, repeatable=False)
 
     def dispatch(self, call: ServiceCall) -> Answer:
-        """Run a call that may be repeated, with retries inside the pool's budget."""
+        """Run a repeatable call, with retries within the pool's retry budget."""
         return self._dispatch(call, repeatable=True)
 
     def _dispatch(self, call: ServiceCall, repeatable: bool) -> Answer:
--- a/libs/daemon/ruddersaddle/service_routes.py
+++ b/libs/daemon/ruddersaddle/service_routes.py
@@ -1,4 +1,4 @@
-"""Calls of plain services as callers make them: repeatable, with a key, or with a ticket."""
+"""Callers' calls of plain services: repeatable, with a key, or with a ticket."""
 
 import logging
 from collections.abc import Callable, Iterable
@@ -77,7 +77,7 @@
         return TicketReply(self.tickets.issue(workspace.id), self.tickets.valid_s)
 
     def read_body(self, environ: Environ) -> bytes | Failure:
-        """Return a request's whole body."""
+        """Return a request's complete body."""
         bytes_max = self.settings.integer("requests.body_max")
         return read_body(environ, bytes_max, self.settings.number("requests.read_timeout_s"))
 
@@ -179,18 +179,18 @@
     def ask_owner(
         self, owner: Incarnation, request: AnswerRequest | TicketedCallRequest, timeout_s: float
     ) -> AnswerReply | Failure:
-        """Ask the process that owns a key or ticket; one that is not listed is gone."""
+        """Ask the process that owns a key or ticket; a process on an unlisted host is gone."""
         row = self.hosts.by_id.get(incarnation_host(owner))
         if row is None or not row.peer_address or self.peers is None:
-            detail = "the host is not listed"
+            detail = "the owner's host is not in the host list"
             return Failure(Code.PEER_GONE, Step.PEER, owner, detail, Ran.UNKNOWN)
         answer = self.peers.ask(row.peer_address, request, timeout_s)
         if isinstance(answer, Failure | AnswerReply):
             return answer
-        return Failure(Code.PEER_GONE, Step.PEER, owner, "another message came", Ran.UNKNOWN)
+        return Failure(Code.PEER_GONE, Step.PEER, owner, "unexpected type of reply", Ran.UNKNOWN)
 
     def serve_peer(self, message: Message) -> AnswerReply:
-        """Answer another host's question about a key or a ticket that this process owns."""
+        """Handle another host's request about a key or a ticket that this process owns."""
         match message:
             case AnswerRequest():
                 return self.keyed.serve(message)
@@ -201,7 +201,7 @@
         return AnswerReply(failure=failure)
 
     def _serve_ticketed(self, request: TicketedCallRequest) -> AnswerReply:
-        """Start a ticket's call if it was not, and wait a little for its answer."""
+        """Start a ticket's call unless it was started, and wait a short time for its answer."""
         key = CallKey(request.ticket)
         answers = self.tickets.answers
         if key not in answers.by_key:
@@ -214,7 +214,7 @@
             )
             eventlet.sleep(0)
             if key not in answers.by_key:
-                # It was refused and holds no slot, so its answer is here at once.
+                # The call was refused without a slot, so the task ends at once.
                 return to_message(task.wait())
         return to_message(answers.join(key, request.call, ANSWER_WAIT_S))
 
--- a/libs/daemon/ruddersaddle/snapshots.py
+++ b/libs/daemon/ruddersaddle/snapshots.py
@@ -1,6 +1,6 @@
-"""Snapshots of the configuration: re-appended to the log before its oldest needed record expires.
+"""Snapshots of the configuration, appended to the log before the oldest needed record expires.
 
-Any host may write one; a random delay makes it likely that only one does, and a second is harmless.
+Any host may write one. A random delay makes it likely that only one does; a second is harmless.
 """
 
 import logging
@@ -16,14 +16,14 @@
 logger = logging.getLogger(__name__)
 
 CHECK_INTERVAL_S = 1.0
-"""Pause between looks, in seconds."""
+"""Interval between checks whether a snapshot is due."""
 DELAY_MAX_S = 2.0
 RETENTION_SHARE = 0.25
-"""A snapshot is due once the last is this share of the retention old."""
+"""A snapshot is due once the age of the last one reaches this share of the retention."""
 
 
 class SnapshotTask:
-    """Writes a snapshot when one is due and no other host has."""
+    """Writes a snapshot when one is due and no other host has written it."""
 
     def __init__(
         self, settings: Settings, configuration: Configuration, appender: Appender
@@ -51,7 +51,7 @@
                 self.write()
 
     def is_due(self) -> bool:
-        """Return whether the last snapshot is too many records or too long ago."""
+        """Return whether the last snapshot is too many records back or too old."""
         configuration = self.configuration
         if configuration.last_snapshot != self._last_snapshot:
             self._last_snapshot = configuration.last_snapshot
@@ -68,5 +68,7 @@
         """Append a snapshot."""
         self.written += 1
         self._last_snapshot_at = time.monotonic()
-        logger.info("Snapshot as of position %d.", self.configuration.position)
+        logger.info(
+            "Writing a snapshot of the configuration at position %d.", self.configuration.position
+        )
         self.appender.post(self.configuration.snapshot())
--- a/libs/daemon/ruddersaddle/tests/test_callers.py
+++ b/libs/daemon/ruddersaddle/tests/test_callers.py
@@ -1,4 +1,4 @@
-"""Tests of requests' parsing: whatever comes, a typed value or a clear failure."""
+"""Tests of request parsing: any input gives a typed value or a failure."""
 
 import unittest
 import uuid
--- a/libs/daemon/ruddersaddle/tests/test_published_files.py
+++ b/libs/daemon/ruddersaddle/tests/test_published_files.py
@@ -1,4 +1,4 @@
-"""Tests of configuration files: a sample compared whole, and problems with their places."""
+"""Tests of configuration files: a complete sample, and problems with their lines."""
 
 import unittest
 from pathlib import Path
@@ -11,7 +11,7 @@
 class PublishedFileTest(unittest.TestCase):
     maxDiff = None
 
-    def test_the_sample_is_read_and_written_back_whole(self):
+    def test_the_sample_is_read_and_written_back_completely(self):
         entries = read_published(str(FOLDER / "input" / "clinics.ini"))
         self.assertFalse([each for each in entries if isinstance(each, Problem)])
         values = [each.value for each in entries if each.value is not None]
--- a/libs/daemon/ruddersaddle/tests/test_traces.py
+++ b/libs/daemon/ruddersaddle/tests/test_traces.py
@@ -1,4 +1,4 @@
-"""Tests of traces: recording, reading back, and problems with their line."""
+"""Tests of traces: recording, reading back, and errors with their line."""
 
 import tempfile
 import unittest
--- a/libs/daemon/ruddersaddle/tickets.py
+++ b/libs/daemon/ruddersaddle/tickets.py
@@ -1,7 +1,8 @@
-"""Tickets: a call that only the process which issued its ticket may run; no log is needed.
+"""Tickets: calls that only the process that issued the ticket may run, without the log.
 
-A ticket works while the log is out. Its process alone decides, so a run happens at most once even
-if that process is paused; once the process is gone the answer is `unknown`, never a second run.
+A ticket can be used while the log is unavailable. The issuing process alone decides, so a call runs
+at most once even if that process is paused. Once it is gone, the answer is `unknown`, and the call
+is never run a second time.
 """
 
 import hmac
@@ -26,7 +27,7 @@
 
 
 class Ticket(msgspec.Struct, frozen=True):
-    """What a ticket's text says: who may run it, and until when in Unix seconds."""
+    """The fields of a ticket: the process that may run it, and its expiry in Unix seconds."""
 
     owner: Incarnation
     until: float
@@ -35,9 +36,9 @@
 
 
 class TicketIssuer:
-    """Issues this process's tickets and runs the calls that come with them.
+    """Issues this process's tickets and runs the calls that use them.
 
-    Tickets are signed with a secret that dies with the process, so only used ones take memory.
+    Tickets are signed with a secret of this process, so unused ones take no memory.
     """
 
     def __init__(self, incarnation: Incarnation, valid_s: float, answers: AnswerCache) -> None:
@@ -60,10 +61,10 @@
         return hmac.new(self._secret, text.encode(), sha256).hexdigest()[:SIGNATURE_LETTERS]
 
     def run(self, workspace: str, text: str, call: ServiceCall, dispatch: Dispatch) -> Answer:
-        """Run a ticket's call if it never was, and return its answer.
+        """Run a ticket's call unless it was run before, and return its answer.
 
-        A call that failed before any byte left closes the ticket for good, so that a copy of the
-        call which is still on its way can't run after `not_run` was said.
+        A call that failed before any byte was sent also uses up the ticket. Otherwise a delayed
+        copy of the call could run after the caller got `not_run`.
         """
         ticket = parse_ticket(text)
         if isinstance(ticket, Failure):
@@ -76,7 +77,7 @@
             answer = self.answers.join(key, call, call.seconds)
             return _running() if answer is None else answer
         if time.time() > ticket.until:
-            detail = "the ticket has run out; it is not run"
+            detail = "the ticket has expired; the call is not run"
             return Failure(Code.KEY_EXPIRED, Step.CLAIM, self.incarnation, detail, Ran.UNKNOWN)
         slot = self.answers.begin(key, call)
         answer = dispatch(call)
@@ -90,7 +91,7 @@
 
 
 def parse_ticket(text: str) -> Ticket | Failure:
-    """Return what a ticket says, unverified."""
+    """Parse a ticket; its signature is not verified."""
     parts = text.split(SEPARATOR)
     if len(parts) != PART_COUNT or not is_decimal_integer(parts[2]):
         return _invalid_ticket("not a ticket")
--- a/libs/daemon/ruddersaddle/traces.py
+++ b/libs/daemon/ruddersaddle/traces.py
@@ -1,7 +1,7 @@
-"""Traces in JSON lines: arrivals, faults and platform events with times, and stated outcomes.
+"""Traces as JSON lines: arrivals, faults and platform events with times, and expected outcomes.
 
-`serve` writes arrivals when recording is on, without any prompt's text or caller's key; the same
-format is generated for benches and read by `trace replay`.
+With recording enabled, `serve` writes arrivals, without prompt texts or callers' keys. Generators
+for benches write the same format, and `trace replay` reads it.
 """
 
 import time
@@ -15,11 +15,11 @@
 from ruddersaddle_upstreams.chains import TOKEN_BYTES
 
 WORKSPACE_KEY = "ruddersaddle.workspace"
-"""Where the gateway notes a request's workspace; requests without one are not recorded."""
+"""WSGI environment key of a request's workspace; requests without it are not recorded."""
 
 
 class Arrival(msgspec.Struct, frozen=True, tag="arrival", omit_defaults=True):
-    """A request that arrives `at` seconds after the trace's start.
+    """A request that arrives `at` seconds after the start of the trace.
 
     `context` names the conversation or template whose prefix is shared; sizes are in tokens.
     """
@@ -35,7 +35,7 @@
 
 
 class Fault(msgspec.Struct, frozen=True, tag="fault", omit_defaults=True):
-    """A fault of a stand-in from `at` on, for `seconds`."""
+    """A fault injected into a stand-in at `at`, lasting `seconds`."""
 
     at: float
     kind: str
@@ -45,7 +45,7 @@
 
 
 class ExpectedOutcome(msgspec.Struct, frozen=True, tag="stated"):
-    """An outcome that the replay is checked against: a count's bounds."""
+    """Bounds of a count that a replay is checked against."""
 
     name: str
     lowest: float
@@ -57,7 +57,7 @@
 
 
 def read_trace(path: str) -> list[TraceLine] | Failure:
-    """Return a trace's lines; a failure names the line that is wrong."""
+    """Return a trace's lines, or a failure that names the invalid line."""
     lines = []
     for number, data in enumerate(Path(path).read_bytes().splitlines(), 1):
         line = decode_json(data, TraceLine, Step.PARSE, f"{path}:{number}")
@@ -73,20 +73,20 @@
 
 
 def fill_text(name: str, tokens: int) -> str:
-    """Return text of so many tokens that only this name has."""
+    """Return text of `tokens` tokens that is unique to `name`."""
     piece = f"{name} word "
     return (piece * (tokens * TOKEN_BYTES // len(piece) + 1))[: tokens * TOKEN_BYTES]
 
 
 class Recorder:
-    """Writes each arrival at a host to a file, if one is named."""
+    """Writes each arrival at a host to a file, if a path is configured."""
 
     def __init__(self, path: str) -> None:
         self.file = Path(path).open("ab") if path else None  # noqa: SIM115
         self.began = time.monotonic()
 
     def wrap(self, application: Application) -> Application:
-        """Return an application that records and passes each request on."""
+        """Wrap a WSGI application to record each request."""
         if self.file is None:
             return application
 
