--- a/libs/base/ruddersaddle_base/bounded_outputs.py
+++ b/libs/base/ruddersaddle_base/bounded_outputs.py
@@ -8,14 +8,14 @@
 from eventlet import patcher
 
 unpatched_os = patcher.original("os")
-"""The `os` module without eventlet's patches. The patched `os.write` waits, before it writes to
-anything that is not a regular file. In a signal handler, which runs in the event loop, that ended
-the process at a planned stop and cut every open stream; elsewhere a full pipe blocked requests.
+"""The `os` module without eventlet's patches. The patched `os.write` yields to the event loop
+before it writes to anything that is not a regular file. In a signal handler, which runs in that
+loop, this ended the process at a planned stop and cut every open stream; elsewhere a full pipe
+blocked requests.
 """
 
 LINES_PER_S = 150.0
-"""Sustained rate for each process. A host ends up to 40 requests a second and logs a line for
-each."""
+"""Sustained rate for each process: a host ends up to 40 requests a second and logs a line each."""
 BURST_LINES = 600.0
 """Lines that may be written at once after a period with few lines."""
 WARNING_RESERVE = 50
--- a/libs/base/ruddersaddle_base/settings.py
+++ b/libs/base/ruddersaddle_base/settings.py
@@ -50,7 +50,7 @@
     Default("listen", "ready", "127.0.0.1:8081", str, "IP:port of readiness checks"),
     Default("listen", "peers", "127.0.0.1:8082", str, "IP:port for the other hosts"),
     Default("listen", "metrics", "127.0.0.1:9464", str, "IP:port of the metrics page"),
-    Default("listen", "seeds", "", str, "IP:port of other hosts' peer listeners, by commas"),
+    Default("listen", "seeds", "", str, "IP:port of other hosts' peer listeners, comma-separated"),
     Default("platform", "store", "127.0.0.1:9000", str, "IP:port of the metadata store"),
     Default("platform", "log", "127.0.0.1:9000", str, "IP:port of the log service"),
     Default("platform", "host_list", "127.0.0.1:9001", str, "IP:port of the host list"),
@@ -64,14 +64,20 @@
     Default("requests", "concurrent_max", "2000", int, "concurrent requests before refusal", 1),
     Default("requests", "gather_ms", "40", float, "ms that tokens are batched", 0, 60),
     Default(
-        "requests", "stop_lag_s", "3", float, "seconds of serving after a planned stop", 0, 600
+        "requests",
+        "stop_lag_s",
+        "3",
+        float,
+        "seconds to keep serving after a planned stop begins",
+        0,
+        600,
     ),
     Default("requests", "stop_max_s", "600", float, "longest wait for streams at a stop", 0, 86400),
     Default("requests", "grace_s", "8", float, "seconds from SIGTERM until SIGKILL", 1, 3600),
     Default("bounds", "key_end_ms", "5000", float, "ms until a revoked key is refused", 500),
     Default("bounds", "key_end_strict", "yes", bool, "whether key_end_ms holds in outages too"),
     Default("bounds", "weights_ms", "12000", float, "ms until old weights are out of use", 1000),
-    Default("bounds", "lease_ms", "3000", float, "ms between two lease holders", 500),
+    Default("bounds", "lease_ms", "3000", float, "ms between the orders of two lease holders", 500),
     Default("bounds", "retry_share", "0.2", float, "retries as a share of requests, all hosts"),
     Default("bounds", "retry_slack", "50", float, "retries beyond that share, all hosts", 0),
     Default("claims", "memory_s", "3600", float, "seconds that a key is remembered", 1, 86400),
@@ -83,14 +89,14 @@
     Default("contexts", "keep", "yes", bool, "whether contexts are saved on store hosts"),
     Default("contexts", "min_blocks", "4", int, "shortest context to save, in blocks", 1),
     Default(
-        "contexts", "prefill_tokens_s", "8000", float, "prefill tokens a second of an engine", 1
+        "contexts", "prefill_tokens_s", "8000", float, "prefill speed of an engine in tokens/s", 1
     ),
     Default("contexts", "timeout_s", "5", float, "seconds for one transfer", 0.05, 120),
     Default("contexts", "prefetch_s", "20", float, "seconds before an event to prefetch", 0, 3600),
     Default("routing", "policy", "predicted", str, "predicted, round_robin, least_load, hash"),
     Default("routing", "load_poll_s", "1.0", float, "seconds between load reports", 0.05, 60),
     Default(
-        "routing", "backlog_s", "0.3", float, "prefill backlog at engines; 0: unlimited", 0, 60
+        "routing", "backlog_s", "0.3", float, "prefill backlog in seconds; 0: unlimited", 0, 60
     ),
     Default("routing", "retry_share", "0.1", float, "retries as a share of first attempts", 0, 1),
     Default(
@@ -100,9 +106,9 @@
     Default("routing", "failures_open", "3", int, "failures in a row that open a circuit", 1, 100),
     Default("routing", "open_s", "2.0", float, "seconds that a circuit stays open", 0.05, 600),
     Default("routing", "connect_s", "1.0", float, "seconds to connect to an upstream", 0.05, 60),
-    Default("routing", "read_s", "15", float, "seconds without a byte of an upstream", 0.05, 600),
+    Default("routing", "read_s", "15", float, "seconds an upstream may send nothing", 0.05, 600),
     Default("leases", "length_s", "6", float, "duration of a lease in seconds", 0.2, 600),
-    Default("leases", "margin_s", "2", float, "seconds to wait after another's lease", 0, 600),
+    Default("leases", "margin_s", "2", float, "seconds a successor waits after a lease", 0, 600),
     Default("traces", "file", "", str, "file to record a trace to; empty for none"),
 )
 """All known keys."""
