--- a/libs/daemon/ruddersaddle/answers.py
+++ b/libs/daemon/ruddersaddle/answers.py
@@ -1,4 +1,4 @@
-"""Answers of calls that may not be repeated, kept so that a repeat gets the same whole answer."""
+"""Cached answers of non-repeatable calls, so that a repeat gets the same complete answer."""
 
 import time
 from collections import OrderedDict
@@ -15,8 +15,8 @@
 Answer = Reply | Failure
 
 
-class Slot:
-    """One call that this process runs or ran."""
+class AnswerSlot:
+    """One call that this process runs or has run, and its answer."""
 
     def __init__(self, call: ServiceCall) -> None:
         self.fingerprint = call.fingerprint()
@@ -26,42 +26,42 @@
 
     @property
     def size(self) -> int:
-        """Bytes that the answer takes."""
+        """Bytes of the cached answer."""
         return len(self.answer.body) if isinstance(self.answer, Reply) else 0
 
 
-class KeptAnswers:
-    """Slots by key; the oldest answers are dropped first, their keys stay."""
+class AnswerCache:
+    """Answer slots by key. The oldest answers are evicted first; their keys stay."""
 
     def __init__(self, bytes_max: int, memory_s: float) -> None:
         self.bytes_max = bytes_max
         self.memory_s = memory_s
-        self.bytes_kept = 0
-        self.by_key: OrderedDict[CallKey, Slot] = OrderedDict()
+        self.cached_bytes = 0
+        self.by_key: OrderedDict[CallKey, AnswerSlot] = OrderedDict()
 
-    def begin(self, key: CallKey, call: ServiceCall) -> Slot:
-        """Take the slot of a call that this process is about to run."""
-        self._forget_old()
-        slot = Slot(call)
+    def begin(self, key: CallKey, call: ServiceCall) -> AnswerSlot:
+        """Create the slot of a call that this process is about to run."""
+        self._evict_expired()
+        slot = AnswerSlot(call)
         self.by_key[key] = slot
         return slot
 
-    def finish(self, slot: Slot, answer: Answer) -> None:
-        """Keep a call's answer and wake whoever waits for it."""
+    def finish(self, slot: AnswerSlot, answer: Answer) -> None:
+        """Store a call's answer and wake the tasks that wait for it."""
         slot.answer = answer
-        self.bytes_kept += slot.size
+        self.cached_bytes += slot.size
         slot.signal.send(None)
-        self._drop_oldest()
+        self._evict_to_limit()
 
     def remove(self, key: CallKey, answer: Answer) -> None:
-        """Give a slot up for a call that was not run; those who wait get `answer`."""
+        """Remove the slot of a call that was not run; waiting tasks get `answer`."""
         slot = self.by_key.pop(key, None)
         if slot is not None and slot.answer is None:
             slot.answer = answer
             slot.signal.send(None)
 
     def join(self, key: CallKey, call: ServiceCall, timeout_s: float) -> Answer | None:
-        """Return the answer of a slot, waiting for it; None if it is still running."""
+        """Wait for the answer of a slot and return it; None if the call is still running."""
         slot = self.by_key[key]
         if slot.fingerprint != call.fingerprint():
             detail = "the key was used for another call"
@@ -71,39 +71,39 @@
                 slot.signal.wait()
         return slot.answer
 
-    def _drop_oldest(self) -> None:
+    def _evict_to_limit(self) -> None:
         for slot in self.by_key.values():
-            if self.bytes_kept <= self.bytes_max:
+            if self.cached_bytes <= self.bytes_max:
                 return
             if isinstance(slot.answer, Reply):
-                self.bytes_kept -= slot.size
-                slot.answer = dropped_answer()
+                self.cached_bytes -= slot.size
+                slot.answer = evicted_answer()
 
-    def _forget_old(self) -> None:
+    def _evict_expired(self) -> None:
         oldest = time.time() - self.memory_s
         while self.by_key:
             key, slot = next(iter(self.by_key.items()))
             if slot.began >= oldest or slot.answer is None:
                 return
-            self.bytes_kept -= slot.size
+            self.cached_bytes -= slot.size
             del self.by_key[key]
 
 
-def dropped_answer() -> Failure:
-    """Return what a repeat gets once the answer itself is no longer kept."""
-    detail = "the call ran; its answer is no longer kept"
+def evicted_answer() -> Failure:
+    """Return what a repeat gets after the answer has been evicted."""
+    detail = "the call was run; its answer is no longer cached"
     return Failure(Code.KEY_IN_USE, Step.CLAIM, "host", detail, Ran.RAN)
 
 
 class AnswerCounts(msgspec.Struct):
-    """How keyed calls ended on this host."""
+    """Counts of the outcomes of keyed calls on this host."""
 
     answered: int = 0
     not_run: int = 0
     unknown: int = 0
     ran: int = 0
 
-    def note(self, answer: Answer) -> None:
+    def record(self, answer: Answer) -> None:
         """Count one answer."""
         if isinstance(answer, Reply):
             self.answered += 1
--- a/libs/daemon/ruddersaddle/contexts.py
+++ b/libs/daemon/ruddersaddle/contexts.py
@@ -1,7 +1,7 @@
-"""Kept context: found on store hosts, fetched into engines, and kept after a stream has ended.
+"""Context cache on store hosts: lookup, fetch into engines, and saving after a stream has ended.
 
-The store host of a context is its first choice by rendezvous hash over the published store hosts,
-so every host finds it without a directory: 2.2 million kept prompts cost a host no memory.
+The store host of a context is selected by rendezvous hashing over the published store hosts. Every
+host finds it without a directory, so 2.2 million stored prompts take no memory on a host.
 """
 
 import logging
@@ -23,12 +23,12 @@
 
 logger = logging.getLogger(__name__)
 
-KEEPING_MAX = 64
-"""Contexts that wait to be kept; more are dropped, since keeping is only a hint for later."""
+PENDING_SAVES_MAX = 64
+"""Further saves are dropped: a saved context only speeds up later requests."""
 
 
 class ContextCounts(msgspec.Struct):
-    """Counts of what was done with kept context."""
+    """Counts of lookups, fetches and saves of stored context."""
 
     found: int = 0
     fetched_blocks: int = 0
@@ -38,74 +38,76 @@
     keep_failures: int = 0
 
 
-class Found(msgspec.Struct, frozen=True):
-    """Where a chain is kept and what that means for a choice."""
+class ContextLookup(msgspec.Struct, frozen=True):
+    """The stored part of a block chain, its store host, and the size of a block."""
 
-    kept: StoredChain
+    chain: StoredChain
     store: StoreClient | None = None
     bytes_per_block: int = 0
 
 
-class KeptContexts:
-    """The contexts kept on store hosts, as this host uses them."""
+class ContextCache:
+    """This host's client of the contexts on store hosts."""
 
     def __init__(self, settings: Settings) -> None:
         self.settings = settings
         self.enabled = settings.flag("contexts.keep")
-        self.min_blocks = settings.whole("contexts.min_blocks")
+        self.min_blocks = settings.integer("contexts.min_blocks")
         self.store_by_id: dict[StoreId, StoreClient] = {}
         self.counts = ContextCounts()
         self._fetch_by_target: dict[tuple[str, BlockKey], Signal] = {}
-        self._keeping = 0
+        self._pending_saves = 0
 
     def update(self, configuration: Configuration) -> None:
-        """Take the newest published store hosts."""
+        """Apply the published list of store hosts."""
         wanted = {store.id: store for store in configuration.values(Store)}
-        for gone in set(self.store_by_id) - set(wanted):
-            del self.store_by_id[gone]
+        for removed in set(self.store_by_id) - set(wanted):
+            del self.store_by_id[removed]
         for store in wanted.values():
             known = self.store_by_id.get(store.id)
-            if known is None or not _is_same(known, store):
-                self.store_by_id[store.id] = self._client(store)
+            if known is None or not _is_unchanged(known, store):
+                self.store_by_id[store.id] = self._make_client(store)
 
-    def _client(self, store: Store) -> StoreClient:
+    def _make_client(self, store: Store) -> StoreClient:
         connect_s = self.settings.number("routing.connect_s")
         timeout_s = self.settings.number("contexts.timeout_s")
         return StoreClient(store.address, Link(store.link_bytes_s), connect_s, timeout_s)
 
-    def _home(self, keys: Sequence[BlockKey]) -> StoreClient | None:
-        """Return the first choice of store host for a chain, or the next if its link is down."""
+    def _select_store(self, keys: Sequence[BlockKey]) -> StoreClient | None:
+        """Return the store host for a chain: the first by rendezvous hash whose link is up."""
         for name in rank_names(keys[0], self.store_by_id):
             store = self.store_by_id[name]
             if store.link.is_up:
                 return store
         return None
 
-    def find(self, keys: list[BlockKey]) -> Found:
-        """Return what is kept of a chain; finding nothing is no failure."""
+    def find(self, keys: list[BlockKey]) -> ContextLookup:
+        """Return how much of a chain is stored; an unreachable store counts as nothing stored."""
         if not self.enabled or len(keys) < self.min_blocks:
-            return Found(StoredChain())
-        store = self._home(keys)
+            return ContextLookup(StoredChain())
+        store = self._select_store(keys)
         if store is None:
-            return Found(StoredChain())
+            return ContextLookup(StoredChain())
         count = store.find(keys)
         if isinstance(count, Failure):
             store.link.record_failure()
-            return Found(StoredChain())
+            return ContextLookup(StoredChain())
         if count.count == 0:
-            return Found(StoredChain(), store)
+            return ContextLookup(StoredChain(), store)
         self.counts.found += 1
         per_block = count.bytes // count.count
         per_block_s = per_block / max(1.0, store.link.rate_bytes_s)
-        kept = StoredChain(count.count, per_block_s, store.link.estimate_s(0))
-        return Found(kept, store, per_block)
+        chain = StoredChain(count.count, per_block_s, store.link.estimate_s(0))
+        return ContextLookup(chain, store, per_block)
 
-    def fetch(self, found: Found, engine: EngineClient, chain: list[BlockKey], cached: int) -> int:
-        """Move verified blocks of a chain from a store host into an engine; return how many.
+    def fetch(
+        self, found: ContextLookup, engine: EngineClient, chain: list[BlockKey], cached: int
+    ) -> int:
+        """Transfer verified blocks of a chain from a store host to an engine; return their count.
 
-        The first `cached` blocks are there already; the engine is told to hold on to them.
+        The first `cached` blocks are already in the engine, which is asked to retain them.
 
-        One fetch of the same blocks to the same engine runs at a time; others wait for it.
+        Only one fetch of the same blocks to the same engine runs at a time; others wait for it.
         """
         target = (engine.address, chain[-1])
         running = self._fetch_by_target.get(target)
@@ -121,7 +123,9 @@
             signal.send(count)
         return count
 
-    def _fetch(self, found: Found, engine: EngineClient, chain: list[BlockKey], cached: int) -> int:
+    def _fetch(
+        self, found: ContextLookup, engine: EngineClient, chain: list[BlockKey], cached: int
+    ) -> int:
         store = found.store
         keys = chain[cached:]
         size = len(keys) * found.bytes_per_block
@@ -132,40 +136,40 @@
             self.counts.fetch_failures += 1
             return 0
         data = b"".join(frame.sealed for frame in frames)
-        taken = engine.import_blocks(data, chain[:cached])
-        if isinstance(taken, Failure):
+        imported = engine.import_blocks(data, chain[:cached])
+        if isinstance(imported, Failure):
             self.counts.fetch_failures += 1
             return 0
         store.link.useful_bytes += len(data)
         self.counts.fetched_blocks += len(frames)
         return len(frames)
 
-    def keep_later(self, engine: EngineClient, request: RequestId) -> None:
-        """Keep a finished request's context in the background."""
-        if not self.enabled or not self.store_by_id or self._keeping >= KEEPING_MAX:
+    def save_in_background(self, engine: EngineClient, request: RequestId) -> None:
+        """Save a finished request's context in the background."""
+        if not self.enabled or not self.store_by_id or self._pending_saves >= PENDING_SAVES_MAX:
             self.counts.keep_dropped += 1
             return
-        self._keeping += 1
-        eventlet.spawn(self._keep_counted, engine, request)
+        self._pending_saves += 1
+        eventlet.spawn(self._save_counted, engine, request)
 
-    def _keep_counted(self, engine: EngineClient, request: RequestId) -> None:
+    def _save_counted(self, engine: EngineClient, request: RequestId) -> None:
         try:
-            self.keep(engine, request)
+            self.save(engine, request)
         finally:
-            self._keeping -= 1
+            self._pending_saves -= 1
 
-    def keep(self, engine: EngineClient, request: RequestId) -> int:
-        """Export what its store host lacks of a request's context; return how many blocks."""
+    def save(self, engine: EngineClient, request: RequestId) -> int:
+        """Save the blocks of a request's context that the store host lacks; return their count."""
         keys = engine.list_request_blocks(request)
         if isinstance(keys, Failure) or len(keys) < self.min_blocks:
             return 0
-        store = self._home(keys)
+        store = self._select_store(keys)
         count = store.find(keys) if store is not None else None
         if count is None or isinstance(count, Failure):
             self.counts.keep_failures += 1
             return 0
-        lacking = keys[count.count :]
-        return self._export(engine, store, lacking) if lacking else 0
+        missing = keys[count.count :]
+        return self._export(engine, store, missing) if missing else 0
 
     def _export(self, engine: EngineClient, store: StoreClient, keys: list[BlockKey]) -> int:
         frames = engine.export_blocks(keys)
@@ -177,13 +181,13 @@
             return 0
         written = store.write(frames)
         if isinstance(written, Failure):
-            logger.info("Context was not kept on %s. %s", store.address, written.detail)
+            logger.info("Context was not saved on %s. %s", store.address, written.detail)
             self.counts.keep_failures += 1
             return 0
         self.counts.kept_blocks += len(keys)
         return len(keys)
 
 
-def _is_same(client: StoreClient, store: Store) -> bool:
+def _is_unchanged(client: StoreClient, store: Store) -> bool:
     same_rate = client.link.capacity_bytes_s == store.link_bytes_s
     return same_rate and client.address == store.address
--- a/libs/daemon/ruddersaddle/gateways.py
+++ b/libs/daemon/ruddersaddle/gateways.py
@@ -1,4 +1,4 @@
-"""The callers' interface over WSGI: models' protocol, plain services by path, health, operators."""
+"""WSGI application: model completions, plain services by path, health and operators' paths."""
 
 import logging
 from collections.abc import Callable, Iterable, Iterator
@@ -26,11 +26,11 @@
 )
 from ruddersaddle.generations import Generation, Generator
 from ruddersaddle.pools import Pools, PoolView
-from ruddersaddle.replies import WholeReply, join_events
+from ruddersaddle.replies import CompleteReply, join_events
 from ruddersaddle.reports import Accepted, Stats, Status, format_metrics
 from ruddersaddle.responses import TEXT_TYPE, Responder, encode_error_event
 from ruddersaddle.service_routes import ServiceRoutes
-from ruddersaddle.traces import WORKSPACE_NOTE
+from ruddersaddle.traces import WORKSPACE_KEY
 
 logger = logging.getLogger(__name__)
 
@@ -54,8 +54,8 @@
     object: str = "list"
 
 
-class HostView(msgspec.Struct):
-    """What the gateway has to know of its host."""
+class HostControl(msgspec.Struct):
+    """The host's state and actions that the gateway uses."""
 
     is_ready: Callable[[], bool]
     is_stopping: Callable[[], bool]
@@ -74,7 +74,7 @@
         pools: Pools,
         generator: Generator,
         services: ServiceRoutes,
-        host: HostView,
+        host: HostControl,
     ) -> None:
         self.settings = settings
         self.configuration = configuration
@@ -83,7 +83,7 @@
         self.services = services
         self.host = host
         self.active = 0
-        self.gather_s = settings.number("requests.gather_ms") / MS_PER_S
+        self.batch_s = settings.number("requests.gather_ms") / MS_PER_S
 
     def __call__(self, environ: Environ, start: Callable) -> Iterable[bytes]:
         """Serve one request."""
@@ -93,11 +93,13 @@
             chunks = self._route(environ, responder)
         except Exception:
             self.active -= 1
-            logger.exception("A request broke.", extra={"request": responder.request})
-            detail = "the host failed; see its log"
+            logger.exception(
+                "Request failed with an unexpected error.", extra={"request": responder.request}
+            )
+            detail = "internal error; see the host's log"
             failure = Failure(Code.INTERNAL, Step.READ, "host", detail, Ran.UNKNOWN)
             return responder.send_failure(failure)
-        return _Counted(chunks, self._count_end)
+        return _TrackedResponse(chunks, self._count_end)
 
     def _count_end(self) -> None:
         self.active -= 1
@@ -110,15 +112,15 @@
             case "GET", "/readyz":
                 return self._send_ready(responder)
             case _, "/metrics":
-                return self._for_operators(environ, responder, path)
+                return self._handle_operator(environ, responder, path)
             case _, _ if path.startswith("/operator/"):
-                return self._for_operators(environ, responder, path)
+                return self._handle_operator(environ, responder, path)
         if not self.host.is_ready() and not self.host.is_stopping():
             return responder.send_refusal(_not_ready())
         workspace = find_workspace(self.configuration, environ.get("HTTP_AUTHORIZATION", ""))
         if isinstance(workspace, Failure):
             return responder.send_refusal(workspace)
-        environ[WORKSPACE_NOTE] = workspace.id
+        environ[WORKSPACE_KEY] = workspace.id
         limits = read_limits(environ, self.settings.number("requests.deadline_s"))
         if isinstance(limits, Failure):
             return responder.send_refusal(limits)
@@ -127,7 +129,7 @@
     def _route_caller(
         self, environ: Environ, responder: Responder, workspace: Workspace, limits: Limits
     ) -> Iterable[bytes]:
-        if self.active > self.settings.whole("requests.concurrent_max"):
+        if self.active > self.settings.integer("requests.concurrent_max"):
             return responder.send_refusal(_overloaded())
         match environ["REQUEST_METHOD"], environ["PATH_INFO"]:
             case "GET", "/v1/models":
@@ -135,9 +137,9 @@
             case "POST", "/v1/tickets":
                 return responder.send_json(self.services.issue_ticket(workspace))
             case "POST", "/v1/completions":
-                return self._complete(environ, responder, workspace, limits, chat=False)
+                return self._handle_completion(environ, responder, workspace, limits, chat=False)
             case "POST", "/v1/chat/completions":
-                return self._complete(environ, responder, workspace, limits, chat=True)
+                return self._handle_completion(environ, responder, workspace, limits, chat=True)
         return self.services.serve(environ, responder, workspace, limits)
 
     def _send_ready(self, responder: Responder) -> Iterable[bytes]:
@@ -149,7 +151,9 @@
         models = self.configuration.values(Model)
         return responder.send_json(ModelList([ModelRow(m.id, m.version) for m in models]))
 
-    def _for_operators(self, environ: Environ, responder: Responder, path: str) -> Iterable[bytes]:
+    def _handle_operator(
+        self, environ: Environ, responder: Responder, path: str
+    ) -> Iterable[bytes]:
         if not self._is_operator(environ):
             detail = "expected the operators' key, or a call from this machine"
             failure = Failure(Code.UNAUTHORIZED, Step.AUTHENTICATE, CALLER, detail)
@@ -174,7 +178,7 @@
         header = environ.get("HTTP_AUTHORIZATION", "")
         return digest_key(header.removeprefix("Bearer ").strip()) == digest
 
-    def _complete(
+    def _handle_completion(
         self,
         environ: Environ,
         responder: Responder,
@@ -226,17 +230,17 @@
             return responder.send_failure(first)
         if request.body.stream:
             responder.start_events()
-            return self._relay(generation, first, events, responder.request)
-        return self._collect(generation, first, events, responder)
+            return self._stream_events(generation, first, events, responder.request)
+        return self._collect_reply(generation, first, events, responder)
 
-    def _relay(
+    def _stream_events(
         self,
         generation: Generation,
         first: bytes,
         events: Iterator[bytes | Failure],
         request: RequestId,
     ) -> Iterator[bytes]:
-        """Yield a stream's events: the first at once, later ones gathered for a short while."""
+        """Yield a stream's events: the first at once, later ones in short batches."""
         try:
             yield first
             for data in events:
@@ -244,13 +248,13 @@
                     yield encode_error_event(data, request)
                     return
                 yield data
-                if self.gather_s:
-                    eventlet.sleep(self.gather_s)
+                if self.batch_s:
+                    eventlet.sleep(self.batch_s)
             yield DONE
         finally:
             generation.finish()
 
-    def _collect(
+    def _collect_reply(
         self,
         generation: Generation,
         first: bytes,
@@ -266,16 +270,16 @@
         finally:
             generation.finish()
         request = generation.request
-        whole = join_events(b"".join(parts), request.id, request.body.model, request.chat)
-        match whole:
-            case WholeReply():
-                return responder.send_json(whole.body)
+        reply = join_events(b"".join(parts), request.id, request.body.model, request.chat)
+        match reply:
+            case CompleteReply():
+                return responder.send_json(reply.body)
             case Failure():
-                return responder.send_failure(whole)
+                return responder.send_failure(reply)
 
 
-class _Counted:
-    """A response's chunks; tells when the response has ended, however it ended."""
+class _TrackedResponse:
+    """A response's chunks, with a callback when the response has ended for any reason."""
 
     def __init__(self, chunks: Iterable[bytes], on_end: Callable[[], None]) -> None:
         self.chunks = chunks
@@ -304,7 +308,7 @@
 
 
 def _overloaded() -> Failure:
-    detail = "the host has too many requests at once"
+    detail = "the host has too many concurrent requests"
     return Failure(Code.OVERLOADED, Step.ADMIT, "host", detail, retry_after_s=1.0)
 
 
--- a/libs/daemon/ruddersaddle/publishers.py
+++ b/libs/daemon/ruddersaddle/publishers.py
@@ -1,7 +1,7 @@
-"""Publishing by operators: a change ends accepted, rejected or unknown, and the word is true.
+"""Publishing of configuration changes by operators; the outcome that is reported is always true.
 
-The operator's own process appends the change and reads the log until the change's fate is there.
-Only that fate counts: an answer of the log that was lost says nothing.
+The operator's process appends the change and reads the log until it finds the change's result.
+Only that result counts: a lost answer to the append does not tell whether it took effect.
 """
 
 import time
@@ -18,16 +18,16 @@
 from ruddersaddle_upstreams.connections import OK, Connections
 from ruddersaddle_upstreams.host_lists import HostList, HostState
 
-from ruddersaddle.published_files import Wanted
+from ruddersaddle.published_files import DesiredEntry
 from ruddersaddle.reports import Status
 
-PAUSE_S = 0.1
-IN_FORCE_S = 11.0
-"""Longest wait for a change to be in force everywhere, in seconds."""
+POLL_S = 0.1
+IN_FORCE_TIMEOUT_S = 11.0
+"""Longest wait for a change to be in force on every live host."""
 
 
-class Word(Enum):
-    """How a change ended."""
+class PublishOutcome(Enum):
+    """Outcome of publishing a change."""
 
     ACCEPTED = "accepted"
     REJECTED = "rejected"
@@ -35,9 +35,9 @@
 
 
 class Published(msgspec.Struct):
-    """What the operator is told of a change."""
+    """Outcome of a change as it is shown to the operator."""
 
-    word: Word
+    word: PublishOutcome
     change: RecordId
     offset: Position | None
     reason: str
@@ -47,54 +47,54 @@
 
 
 class Publisher:
-    """One operator's connection to the log and to the host list."""
+    """An operator's client of the log and of the host list."""
 
     def __init__(self, log_address: str, list_address: str, timeout_s: float) -> None:
         self.client = LogClient(log_address, timeout_s)
         self.configuration = Configuration()
         self.follower = Follower(self.client, Stream.CONFIGURATION, self.configuration)
-        self.hosts = HostList(list_address, PAUSE_S, timeout_s)
+        self.hosts = HostList(list_address, POLL_S, timeout_s)
         self.timeout_s = timeout_s
 
     def read(self) -> bool:
-        """Read the configuration as it stands; return whether the log answered."""
+        """Read the current configuration; return whether the log answered."""
         return self.follower.read_to_end()
 
-    def edits_for(self, wanted: list[Wanted]) -> list[Edit]:
-        """Return the edits that make the present configuration hold what is wanted."""
+    def edits_for(self, wanted: list[DesiredEntry]) -> list[Edit]:
+        """Return the edits that bring the current configuration to the desired entries."""
         edits = []
         for each in wanted:
             entry = self.configuration.by_key.get(each.key)
-            present = None if entry is None else entry.value
-            if present != each.value:
+            current = None if entry is None else entry.value
+            if current != each.value:
                 edits.append(Edit(each.key, self.configuration.version(each.key), each.value))
         return edits
 
     def publish(self, author: str, edits: list[Edit], wait_s: float) -> Published:
-        """Append a change and tell how it ended, within `wait_s` seconds."""
+        """Append a change and return its outcome, `unknown` after `wait_s` seconds."""
         change = Change(new_record_id(), author, tuple(edits))
         reply = self.client.append(Stream.CONFIGURATION, Batch((change,)))
         if isinstance(reply, Failure) and reply.ran is Ran.NOT_RUN:
-            reason = f"the log was not reached: {reply.detail}"
-            return Published(Word.REJECTED, change.id, None, reason)
-        fate = self._find_fate(change.id, time.monotonic() + wait_s)
-        if fate is None:
-            reason = f"not read back in {wait_s:g} s; see `config show --change {change.id}`"
-            return Published(Word.UNKNOWN, change.id, None, reason)
-        accepted = fate.outcome is Outcome.ACCEPTED
-        word = Word.ACCEPTED if accepted else Word.REJECTED
-        return Published(word, change.id, fate.position, fate.reason)
-
-    def _find_fate(self, change: RecordId, deadline: float) -> RecordResult | None:
+            reason = f"the log service was not reached: {reply.detail}"
+            return Published(PublishOutcome.REJECTED, change.id, None, reason)
+        result = self._wait_for_result(change.id, time.monotonic() + wait_s)
+        if result is None:
+            reason = f"not read back within {wait_s:g} s; see `config show --change {change.id}`"
+            return Published(PublishOutcome.UNKNOWN, change.id, None, reason)
+        accepted = result.outcome is Outcome.ACCEPTED
+        word = PublishOutcome.ACCEPTED if accepted else PublishOutcome.REJECTED
+        return Published(word, change.id, result.position, result.reason)
+
+    def _wait_for_result(self, change: RecordId, deadline: float) -> RecordResult | None:
         while True:
             self.follower.read_once(0.0)
-            fate = self.configuration.result_by_id.get(change)
-            if fate is not None or time.monotonic() >= deadline:
-                return fate
-            time.sleep(PAUSE_S)
+            result = self.configuration.result_by_id.get(change)
+            if result is not None or time.monotonic() >= deadline:
+                return result
+            time.sleep(POLL_S)
 
-    def await_in_force(self, published: Published) -> Published:
-        """Wait until every live host has the change in force; return how many have."""
+    def wait_until_in_force(self, published: Published) -> Published:
+        """Wait until the change is in force on every live host; return how many have it."""
         began = time.monotonic()
         while True:
             self.hosts.refresh()
@@ -103,11 +103,11 @@
             positions = [s.configuration_position for s in statuses if isinstance(s, Status)]
             in_force = sum(position >= published.offset for position in positions)
             elapsed = time.monotonic() - began
-            if in_force == len(rows) or elapsed >= IN_FORCE_S:
+            if in_force == len(rows) or elapsed >= IN_FORCE_TIMEOUT_S:
                 return msgspec.structs.replace(
                     published, hosts_in_force=in_force, hosts_listed=len(rows), seconds=elapsed
                 )
-            time.sleep(PAUSE_S)
+            time.sleep(POLL_S)
 
     def status_of(self, address: str) -> Status | Failure:
         """Return one host's status."""
@@ -120,7 +120,7 @@
 def call_operator(
     address: str, method: str, path: str, timeout_s: float, key: str = ""
 ) -> bytes | Failure:
-    """Call an operators' path of one host."""
+    """Call an operators' endpoint of one host."""
     headers = {"Authorization": f"Bearer {key}"} if key else {}
     connections = Connections(address, timeout_s, timeout_s)
     reply = connections.call(method, path, b"", headers)
--- a/libs/daemon/ruddersaddle/service_calls.py
+++ b/libs/daemon/ruddersaddle/service_calls.py
@@ -1,4 +1,4 @@
-"""Calls of plain services: which upstream, and what may be tried again."""
+"""Calls of plain services: choice of the upstream, and retries."""
 
 import itertools
 
@@ -16,7 +16,7 @@
 
 
 class ServiceCaller:
-    """Passes calls on to the upstreams of service pools."""
+    """Forwards calls to the upstreams of service pools."""
 
     def __init__(self, settings: Settings, pools: Pools) -> None:
         self.connect_s = settings.number("routing.connect_s")
@@ -24,42 +24,44 @@
         self._turn = itertools.count()
 
     def dispatch_once(self, call: ServiceCall) -> Answer:
-        """Run a call that may not be repeated.
+        """Run a non-repeatable call.
 
-        Only a connection that was never made may be tried on another upstream: once a byte has
-        left, the outcome is the upstream's answer or `unknown`.
+        It is retried on another upstream only if no connection was made: once a byte has been sent,
+        the outcome is the upstream's answer or `unknown`.
         """
         return self._dispatch(call, repeatable=False)
 
     def dispatch(self, call: ServiceCall) -> Answer:
-        """Run a call that may be repeated, with retries inside the pool's budget."""
+        """Run a repeatable call, with retries within the pool's retry budget."""
         return self._dispatch(call, repeatable=True)
 
     def _dispatch(self, call: ServiceCall, repeatable: bool) -> Answer:
         view = self.pools.by_id.get(call.pool)
         if view is None:
-            return _none_open(call.pool)
+            return _no_open_upstream(call.pool)
         view.budget.record_first()
-        answer: Answer = _none_open(call.pool)
-        tried: set[str] = set()
+        answer: Answer = _no_open_upstream(call.pool)
+        attempted: set[str] = set()
         while True:
-            load = self._next(view, tried)
+            load = self._select_load(view, attempted)
             if load is None:
                 return answer
-            if tried and not view.budget.try_spend():
+            if attempted and not view.budget.try_spend():
                 return answer
-            tried.add(load.address)
+            attempted.add(load.address)
             answer = self._call(load, call)
-            if not _may_try_again(answer, repeatable):
+            if not _may_retry(answer, repeatable):
                 return answer
 
-    def _next(self, view: PoolView, tried: set[str]) -> Load | None:
-        untried = [load for load in view.loads() if load.address not in tried and load.is_open]
-        if not untried:
+    def _select_load(self, view: PoolView, attempted: set[str]) -> Load | None:
+        candidates = [
+            load for load in view.loads() if load.address not in attempted and load.is_open
+        ]
+        if not candidates:
             return None
-        start = next(self._turn) % len(untried)
-        turned = untried[start:] + untried[:start]
-        return min(turned, key=lambda load: load.limit.in_flight)
+        start = next(self._turn) % len(candidates)
+        rotated = candidates[start:] + candidates[:start]
+        return min(rotated, key=lambda load: load.limit.in_flight)
 
     def _call(self, load: Load, call: ServiceCall) -> Answer:
         load.limit.begin()
@@ -72,12 +74,12 @@
         return answer
 
 
-def _may_try_again(answer: Answer, repeatable: bool) -> bool:
+def _may_retry(answer: Answer, repeatable: bool) -> bool:
     if isinstance(answer, Reply):
         return repeatable and answer.status > SERVER_ERROR
     return repeatable or answer.ran is Ran.NOT_RUN
 
 
-def _none_open(pool: str) -> Failure:
+def _no_open_upstream(pool: str) -> Failure:
     detail = "no upstream is open"
     return Failure(Code.NO_UPSTREAM, Step.CONNECT, pool, detail, retry_after_s=1.0)
--- a/libs/daemon/ruddersaddle/tickets.py
+++ b/libs/daemon/ruddersaddle/tickets.py
@@ -1,7 +1,8 @@
-"""Tickets: a call that only the process which issued its ticket may run; no log is needed.
+"""Tickets: calls that only the process that issued the ticket may run, without the log.
 
-A ticket works while the log is out. Its process alone decides, so a run happens at most once even
-if that process is paused; once the process is gone the answer is `unknown`, never a second run.
+A ticket can be used while the log is unavailable. The issuing process alone decides, so a call runs
+at most once even if that process is paused. Once it is gone, the answer is `unknown`, and the call
+is never run a second time.
 """
 
 import hmac
@@ -10,11 +11,11 @@
 from hashlib import sha256
 
 import msgspec
-from ruddersaddle_base.codecs import is_whole
+from ruddersaddle_base.codecs import is_decimal_integer
 from ruddersaddle_base.failures import Code, Failure, Ran, Step
 from ruddersaddle_base.ids import CallKey, Incarnation
 
-from ruddersaddle.answers import Answer, KeptAnswers
+from ruddersaddle.answers import Answer, AnswerCache
 from ruddersaddle.keyed_calls import Dispatch
 from ruddersaddle.messages import ServiceCall
 
@@ -22,11 +23,11 @@
 SEPARATOR = ":"
 SECRET_BYTES = 32
 SIGNATURE_LETTERS = 32
-PARTS = 5
+PART_COUNT = 5
 
 
 class Ticket(msgspec.Struct, frozen=True):
-    """What a ticket's text says: who may run it, and until when in Unix seconds."""
+    """The fields of a ticket: the process that may run it, and its expiry in Unix seconds."""
 
     owner: Incarnation
     until: float
@@ -34,13 +35,13 @@
     signature: str
 
 
-class TicketOffice:
-    """Issues this process's tickets and runs the calls that come with them.
+class TicketIssuer:
+    """Issues this process's tickets and runs the calls that use them.
 
-    Tickets are signed with a secret that dies with the process, so only used ones take memory.
+    Tickets are signed with a secret of this process, so unused ones take no memory.
     """
 
-    def __init__(self, incarnation: Incarnation, valid_s: float, answers: KeptAnswers) -> None:
+    def __init__(self, incarnation: Incarnation, valid_s: float, answers: AnswerCache) -> None:
         self.incarnation = incarnation
         self.valid_s = valid_s
         self.answers = answers
@@ -60,23 +61,23 @@
         return hmac.new(self._secret, text.encode(), sha256).hexdigest()[:SIGNATURE_LETTERS]
 
     def run(self, workspace: str, text: str, call: ServiceCall, dispatch: Dispatch) -> Answer:
-        """Run a ticket's call if it never was, and return its answer.
+        """Run a ticket's call unless it was run before, and return its answer.
 
-        A call that failed before any byte left closes the ticket for good, so that a copy of the
-        call which is still on its way can't run after `not_run` was said.
+        A call that failed before any byte was sent also uses up the ticket. Otherwise a delayed
+        copy of the call could run after the caller got `not_run`.
         """
         ticket = parse_ticket(text)
         if isinstance(ticket, Failure):
             return ticket
         signature = self._sign(workspace, f"{ticket.until:.0f}", ticket.nonce)
         if not hmac.compare_digest(ticket.signature, signature):
-            return _bad("the ticket is not of this workspace and process")
+            return _invalid_ticket("the ticket is not of this workspace and process")
         key = CallKey(text)
         if key in self.answers.by_key:
             answer = self.answers.join(key, call, call.seconds)
             return _running() if answer is None else answer
         if time.time() > ticket.until:
-            detail = "the ticket has run out; it is not run"
+            detail = "the ticket has expired; the call is not run"
             return Failure(Code.KEY_EXPIRED, Step.CLAIM, self.incarnation, detail, Ran.UNKNOWN)
         slot = self.answers.begin(key, call)
         answer = dispatch(call)
@@ -90,14 +91,14 @@
 
 
 def parse_ticket(text: str) -> Ticket | Failure:
-    """Return what a ticket says, unverified."""
+    """Parse a ticket; its signature is not verified."""
     parts = text.split(SEPARATOR)
-    if len(parts) != PARTS or not is_whole(parts[2]):
-        return _bad("not a ticket")
+    if len(parts) != PART_COUNT or not is_decimal_integer(parts[2]):
+        return _invalid_ticket("not a ticket")
     return Ticket(Incarnation(parts[1]), float(parts[2]), parts[3], parts[4])
 
 
-def _bad(detail: str) -> Failure:
+def _invalid_ticket(detail: str) -> Failure:
     return Failure(Code.BAD_REQUEST, Step.CLAIM, "caller", detail)
 
 
--- a/libs/daemon/ruddersaddle/traces.py
+++ b/libs/daemon/ruddersaddle/traces.py
@@ -1,7 +1,7 @@
-"""Traces in JSON lines: arrivals, faults and platform events with times, and stated outcomes.
+"""Traces as JSON lines: arrivals, faults and platform events with times, and expected outcomes.
 
-`serve` writes arrivals when recording is on, without any prompt's text or caller's key; the same
-format is generated for benches and read by `trace replay`.
+With recording enabled, `serve` writes arrivals, without prompt texts or callers' keys. Generators
+for benches write the same format, and `trace replay` reads it.
 """
 
 import time
@@ -10,16 +10,16 @@
 from typing import Any
 
 import msgspec
-from ruddersaddle_base.codecs import decode_json, encode_json, is_whole
+from ruddersaddle_base.codecs import decode_json, encode_json, is_decimal_integer
 from ruddersaddle_base.failures import Failure, Step
 from ruddersaddle_upstreams.chains import TOKEN_BYTES
 
-WORKSPACE_NOTE = "ruddersaddle.workspace"
-"""Where the gateway notes a request's workspace; requests without one are not recorded."""
+WORKSPACE_KEY = "ruddersaddle.workspace"
+"""WSGI environment key of a request's workspace; requests without it are not recorded."""
 
 
 class Arrival(msgspec.Struct, frozen=True, tag="arrival", omit_defaults=True):
-    """A request that arrives `at` seconds after the trace's start.
+    """A request that arrives `at` seconds after the start of the trace.
 
     `context` names the conversation or template whose prefix is shared; sizes are in tokens.
     """
@@ -35,7 +35,7 @@
 
 
 class Fault(msgspec.Struct, frozen=True, tag="fault", omit_defaults=True):
-    """A fault of a stand-in from `at` on, for `seconds`."""
+    """A fault injected into a stand-in at `at`, lasting `seconds`."""
 
     at: float
     kind: str
@@ -44,20 +44,20 @@
     value: float = 0.0
 
 
-class Stated(msgspec.Struct, frozen=True, tag="stated"):
-    """An outcome that the replay is checked against: a count's bounds."""
+class ExpectedOutcome(msgspec.Struct, frozen=True, tag="stated"):
+    """Bounds of a count that a replay is checked against."""
 
     name: str
     lowest: float
     highest: float
 
 
-TraceLine = Arrival | Fault | Stated
+TraceLine = Arrival | Fault | ExpectedOutcome
 Application = Callable[[dict[str, Any], Callable], Iterable[bytes]]
 
 
 def read_trace(path: str) -> list[TraceLine] | Failure:
-    """Return a trace's lines; a failure names the line that is wrong."""
+    """Return a trace's lines, or a failure that names the invalid line."""
     lines = []
     for number, data in enumerate(Path(path).read_bytes().splitlines(), 1):
         line = decode_json(data, TraceLine, Step.PARSE, f"{path}:{number}")
@@ -73,27 +73,27 @@
 
 
 def fill_text(name: str, tokens: int) -> str:
-    """Return text of so many tokens that only this name has."""
+    """Return text of `tokens` tokens that is unique to `name`."""
     piece = f"{name} word "
     return (piece * (tokens * TOKEN_BYTES // len(piece) + 1))[: tokens * TOKEN_BYTES]
 
 
 class Recorder:
-    """Writes each arrival at a host to a file, if one is named."""
+    """Writes each arrival at a host to a file, if a path is configured."""
 
     def __init__(self, path: str) -> None:
         self.file = Path(path).open("ab") if path else None  # noqa: SIM115
         self.began = time.monotonic()
 
     def wrap(self, application: Application) -> Application:
-        """Return an application that records and passes each request on."""
+        """Wrap a WSGI application to record each request."""
         if self.file is None:
             return application
 
         def record(environ: dict[str, Any], start: Callable) -> Iterable[bytes]:
             at = round(time.monotonic() - self.began, 3)
             chunks = application(environ, start)
-            if WORKSPACE_NOTE in environ:
+            if WORKSPACE_KEY in environ:
                 self._write(environ, at)
             return chunks
 
@@ -103,10 +103,10 @@
         size = environ.get("CONTENT_LENGTH") or "0"
         arrival = Arrival(
             at=at,
-            workspace=environ[WORKSPACE_NOTE],
+            workspace=environ[WORKSPACE_KEY],
             path=environ["PATH_INFO"],
             group=environ.get("HTTP_PRIORITY_CLASS", "normal"),
-            prompt_tokens=int(size) // TOKEN_BYTES if is_whole(size) else 0,
+            prompt_tokens=int(size) // TOKEN_BYTES if is_decimal_integer(size) else 0,
         )
         self.file.write(encode_json(arrival) + b"\n")
         self.file.flush()
