--- a/libs/standins/ruddersaddle_standins/__init__.py
+++ b/libs/standins/ruddersaddle_standins/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-ins for what surrounds the system, and the tools that test and measure it.
+"""Stand-ins for the systems around the product, and tools that test and measure it.
 
-Nothing here is in the product's executable.
+The product's executable contains nothing of this package.
 """
--- a/libs/standins/ruddersaddle_standins/balancers.py
+++ b/libs/standins/ruddersaddle_standins/balancers.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform's balancer: sends callers to hosts that were ready a lag ago."""
+"""Stand-in for the platform's balancer: distributes callers over hosts that were recently ready."""
 
 import itertools
 import threading
@@ -7,16 +7,16 @@
 from ruddersaddle_standins.fleets import Fleet
 from ruddersaddle_standins.processes import is_good, wait_until
 
-LAG_S = 0.3
+POLL_INTERVAL_S = 0.3
 
 
 class Balancer:
-    """Asks every host for readiness in turn, and hands out the ready ones."""
+    """Polls the readiness of all hosts, and returns ready hosts in rotation."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
         self.ready: list[str] = fleet.host_names()
-        self._turn = itertools.count()
+        self._requests = itertools.count()
         self._stopped = threading.Event()
         self._thread = threading.Thread(target=self._run, daemon=True)
         self._thread.start()
@@ -25,18 +25,18 @@
         while not self._stopped.is_set():
             names = self.fleet.host_names()
             self.ready = [n for n in names if is_good(self.fleet.url(n, "/readyz"))]
-            time.sleep(LAG_S)
+            time.sleep(POLL_INTERVAL_S)
 
     def next_address(self) -> str:
         """Return the address of the next ready host."""
         ready = self.ready
-        return self.fleet.address_by_name[ready[next(self._turn) % len(ready)]]
+        return self.fleet.address_by_name[ready[next(self._requests) % len(ready)]]
 
-    def await_listed(self, name: str) -> None:
-        """Wait until a host gets callers again."""
-        wait_until(lambda: name in self.ready, f"{name} is sent callers")
+    def wait_until_ready(self, name: str) -> None:
+        """Wait until a host is in rotation."""
+        wait_until(lambda: name in self.ready, f"{name} in rotation")
 
     def stop(self) -> None:
-        """End the task."""
+        """Stop polling."""
         self._stopped.set()
         self._thread.join()
--- a/libs/standins/ruddersaddle_standins/clients.py
+++ b/libs/standins/ruddersaddle_standins/clients.py
@@ -1,4 +1,4 @@
-"""A caller of a fleet: prompts, calls with keys and tickets, and what came back."""
+"""Client of a fleet: sends prompts, and calls with keys and tickets."""
 
 import time
 from collections.abc import Iterator
@@ -16,7 +16,7 @@
 
 
 class PromptResult(msgspec.Struct):
-    """What a prompt's caller got; times are in milliseconds from the sending."""
+    """Result of a prompt; times are in milliseconds since it was sent."""
 
     status: int
     text: str = ""
@@ -32,14 +32,14 @@
 
     @property
     def recomputed_share(self) -> float:
-        """The share of the prompt that was computed again."""
+        """Share of the prompt that was not cached."""
         if not self.usage.prompt_tokens:
             return 1.0
         return 1.0 - self.usage.cached_tokens / self.usage.prompt_tokens
 
 
 class CallResult(msgspec.Struct):
-    """What a call's caller got."""
+    """Result of a call."""
 
     status: int
     body: bytes = b""
@@ -50,12 +50,12 @@
 
     @property
     def outcome(self) -> str:
-        """`answered`, or what the error says of whether the call ran."""
+        """`answered`, or whether the call ran according to the error."""
         return "answered" if self.error is None else self.error.ran
 
 
 class Client:
-    """One caller of one workspace; a connection that breaks is a result with status 0."""
+    """A caller of one workspace; a broken connection gives a result with status 0."""
 
     def __init__(self, workspace: str, keep_alive: bool = True) -> None:
         self.headers = {"Authorization": f"Bearer {caller_key(workspace)}"}
@@ -148,7 +148,7 @@
         return result
 
     def ticket(self, address: str) -> str:
-        """Return a new ticket, or nothing if the host refused."""
+        """Return a new ticket, empty if the host refused."""
         try:
             reply = self.http.request(
                 "POST", f"http://{address}/v1/tickets", headers=self.headers, timeout=TIMEOUT_S
--- a/libs/standins/ruddersaddle_standins/counting_proxies.py
+++ b/libs/standins/ruddersaddle_standins/counting_proxies.py
@@ -1,4 +1,4 @@
-"""Counts the bytes between a host and one address, for measures of control traffic."""
+"""TCP proxy that counts bytes, for measurements of control traffic."""
 
 import socket
 import threading
@@ -9,7 +9,7 @@
 
 
 class CountingProxy:
-    """Passes connections on to an address and counts the bytes of both directions."""
+    """Forwards connections to an address and counts the bytes in both directions."""
 
     def __init__(self, target: str) -> None:
         self.target = target
@@ -22,19 +22,19 @@
     def _run(self) -> None:
         while True:
             try:
-                near, _ = self.listener.accept()
+                client, _ = self.listener.accept()
             except OSError:
                 return
             host, _, port = self.target.partition(":")
             try:
-                far = socket.create_connection((host, int(port)))
+                server = socket.create_connection((host, int(port)))
             except OSError:
-                near.close()
+                client.close()
                 continue
-            for source, sink in ((near, far), (far, near)):
-                threading.Thread(target=self._pass, args=(source, sink), daemon=True).start()
+            for source, sink in ((client, server), (server, client)):
+                threading.Thread(target=self._forward, args=(source, sink), daemon=True).start()
 
-    def _pass(self, source: socket.socket, sink: socket.socket) -> None:
+    def _forward(self, source: socket.socket, sink: socket.socket) -> None:
         try:
             while data := source.recv(READ_BYTES):
                 with self._lock:
@@ -46,5 +46,5 @@
             sink.close()
 
     def close(self) -> None:
-        """Take no more connections."""
+        """Accept no more connections."""
         self.listener.close()
--- a/libs/standins/ruddersaddle_standins/demos.py
+++ b/libs/standins/ruddersaddle_standins/demos.py
@@ -1,4 +1,4 @@
-"""The demo: a returning prompt served end to end by separate processes."""
+"""Demo: a repeated prompt is served end to end by separate processes."""
 
 from ruddersaddle_base.failures import Failure
 
@@ -13,7 +13,7 @@
 
 
 def run_demo(name: str) -> bool:
-    """Show the path; return whether everything was as it should be."""
+    """Run the demo; return whether the responses were correct and the second one was cheaper."""
     topology = load_topology(name)
     print(
         f"{name}: {topology.hosts} entry hosts, {topology.engines} engines, "
@@ -29,30 +29,30 @@
     prompt = f"tariff and referral sheet of {workspace}: " + "item " * PROMPT_WORDS
     first = client.prompt(fleet.address_by_name["host-1"], prompt, ANSWER_TOKENS)
     _print("first time, through host-1", first)
-    wait_until(lambda: _kept(fleet, "host-1") > 0, "context kept")
-    print(f"  context kept: {_kept(fleet, 'host-1')} blocks on a store host")
+    wait_until(lambda: _saved_blocks(fleet, "host-1") > 0, "context stored")
+    print(f"  context stored: {_saved_blocks(fleet, 'host-1')} blocks on a store host")
     for number in range(1, fleet.topology.engines + 1):
         fleet.http.request("POST", fleet.url(f"engine-{number}", "/drop"))
-    wait_until(lambda: _cached(fleet, "host-2") == 0, "cache events")
-    print("  every engine has dropped the context from its cache")
+    wait_until(lambda: _cached_blocks(fleet, "host-2") == 0, "cache events")
+    print("  every engine has evicted the context from its cache")
     second = client.prompt(fleet.address_by_name["host-2"], prompt, ANSWER_TOKENS)
-    _print("returning, through host-2", second)
+    _print("second time, through host-2", second)
     expected = answer_text(prompt, VERSION, ANSWER_TOKENS)
-    right = first.text == second.text == expected and first.complete and second.complete
-    better = second.recomputed_share < first.recomputed_share
+    correct = first.text == second.text == expected and first.complete and second.complete
+    is_cheaper = second.recomputed_share < first.recomputed_share
     print(
-        f"  both answers whole and right: {right}; ratio of first tokens: "
+        f"  both answers complete and correct: {correct}; ratio of first tokens: "
         f"{second.first_ms / first.first_ms:.2f}"
     )
-    return right and better
+    return correct and is_cheaper
 
 
-def _kept(fleet: Fleet, host: str) -> int:
+def _saved_blocks(fleet: Fleet, host: str) -> int:
     status = fleet.status(host)
     return 0 if isinstance(status, Failure) else status.counts["contexts_kept_blocks"]
 
 
-def _cached(fleet: Fleet, host: str) -> int:
+def _cached_blocks(fleet: Fleet, host: str) -> int:
     status = fleet.status(host)
     if isinstance(status, Failure):
         return -1
--- a/libs/standins/ruddersaddle_standins/fleets.py
+++ b/libs/standins/ruddersaddle_standins/fleets.py
@@ -1,4 +1,4 @@
-"""A fleet of real processes on loopback: stand-ins, entry hosts, and a published configuration."""
+"""Fleet of processes on loopback: stand-ins, entry hosts, and a published configuration."""
 
 import tempfile
 from pathlib import Path
@@ -38,7 +38,7 @@
 
 
 class Topology(msgspec.Struct, kw_only=True):
-    """What a fleet consists of; `settings` go to every host, `speeds` to every stand-in."""
+    """Composition of a fleet; `settings` apply to every host, `speeds` to every stand-in."""
 
     halls: tuple[str, ...] = ("glerar", "oddeyri", "krossanes")
     hosts: int = 3
@@ -53,7 +53,7 @@
 
 
 class Fleet:
-    """Running processes, by name; use as a context."""
+    """Running processes, by name; a context manager that stops them."""
 
     def __init__(self, topology: Topology) -> None:
         self.topology = topology
@@ -77,7 +77,7 @@
         self.stop()
 
     def start(self) -> None:
-        """Start everything, publish the configuration and wait until all hosts are ready."""
+        """Start all processes, publish the configuration and wait until all hosts are ready."""
         self._start_standins()
         self.publisher = Publisher(self.address_by_name["log"], self.address_by_name["list"], 2.0)
         for number in range(1, self.topology.hosts + 1):
@@ -116,7 +116,7 @@
         return self.folder / f"{name}.runs"
 
     def runs(self) -> list[Run]:
-        """Return all that the plain services have run, from their own records."""
+        """Return all runs of the plain services, from the files that they write."""
         names = [name for name in self.by_name if name.startswith("service-")]
         return [run for name in names for run in read_runs(self._run_file(name))]
 
@@ -127,7 +127,7 @@
         self.row_by_name[name] = row
 
     def add_host(self, name: str, **settings: str) -> Process:
-        """Start one entry host and list it with the next `publish_list`."""
+        """Start one entry host; the next `publish_list` adds it to the host list."""
         port, peer_port = free_ports(2)
         self.address_by_name[name] = f"{LOOPBACK}:{port}"
         self.peer_by_name[name] = f"{LOOPBACK}:{peer_port}"
@@ -152,7 +152,7 @@
         return process
 
     def base_values(self) -> list[Value]:
-        """Return the configuration that the topology implies."""
+        """Return the configuration entries for the topology."""
         values: list[Value] = [Model(MODEL, VERSION)]
         for name in self.topology.workspaces:
             values.append(Workspace(WorkspaceId(name), (digest_key(caller_key(name)),)))
@@ -180,23 +180,23 @@
         return tuple(Upstream(UpstreamId(r.id), r.address, r.hall) for r in self._rows(kind))
 
     def publish_list(self) -> None:
-        """Set the platform's host list to the rows that this fleet has."""
+        """Set the platform's host list to the rows of this fleet."""
         body = msgspec.json.encode(list(self.row_by_name.values()))
         self.http.request("PUT", self.url("list", "/hosts"), body=body)
 
     def mark_leaving(self, name: str) -> None:
-        """Mark a host as leaving in the list."""
+        """Mark a host as leaving in the host list."""
         row = self.row_by_name[name]
         self.row_by_name[name] = msgspec.structs.replace(row, state=HostState.LEAVING)
         self.publish_list()
 
     def remove_row(self, name: str) -> None:
-        """Take a host out of the list."""
+        """Remove a host from the host list."""
         del self.row_by_name[name]
         self.publish_list()
 
     def publish(self, *values: Value) -> Published:
-        """Publish values and insist on acceptance."""
+        """Publish values; `RuntimeError` if they are not accepted."""
         self.publisher.read()
         wanted = [DesiredEntry(entry_key(value), value) for value in values]
         edits = self.publisher.edits_for(wanted)
@@ -206,12 +206,12 @@
         return published
 
     def wait_ready(self) -> None:
-        """Wait until every listed host is ready and has all upstreams."""
+        """Wait until every running host is ready and knows all upstreams."""
         for name in self.host_names():
             self.wait_host(name)
 
     def wait_host(self, name: str) -> None:
-        """Wait until a host is ready and knows its engines' versions."""
+        """Wait until a host is ready and knows the versions of its engines."""
         wait_until(lambda: is_good(self.url(name, "/readyz")), f"{name} ready")
         wait_until(lambda: self._knows_upstreams(name), f"{name} knows its upstreams")
 
@@ -225,9 +225,11 @@
         return len(rows) >= wanted and all(row.version for row in engines)
 
     def wait_recovered(self) -> None:
-        """Wait until every host reads the log and no circuit is open from earlier failures."""
+        """Wait until every host reads and appends to the log, and no circuit is open any more."""
         for name in self.host_names():
-            wait_until(lambda host=name: self._has_recovered(host), f"{name} lets calls pass")
+            wait_until(
+                lambda host=name: self._has_recovered(host), f"{name} recovered from earlier faults"
+            )
 
     def _has_recovered(self, name: str) -> bool:
         status = self.status(name)
@@ -238,24 +240,24 @@
         return all(row.circuit != CircuitState.OPEN.value for row in status.upstreams)
 
     def wait_healthy(self, name: str) -> None:
-        """Wait until a stand-in answers."""
+        """Wait until a stand-in responds."""
         wait_until(lambda: is_good(self.url(name, "/healthz")), f"{name} healthy")
 
     def host_names(self) -> list[str]:
-        """Return the names of the entry hosts whose processes run."""
+        """Return the names of the entry hosts whose processes are running."""
         names = [name for name in self.by_name if name.startswith("host-")]
         return [name for name in names if self.by_name[name].is_running]
 
     def url(self, name: str, path: str) -> str:
-        """Return a URL of a process."""
+        """Return the URL of a path on a process."""
         return f"http://{self.address_by_name[name]}{path}"
 
     def status(self, name: str) -> Status | Failure:
-        """Return a host's status."""
+        """Return the status of a host."""
         return self.publisher.status_of(self.address_by_name[name])
 
     def inject_fault(self, name: str, kind: str, value: float = 1.0, seconds: float = 1e9) -> None:
-        """Bring about a fault of a stand-in."""
+        """Inject a fault into a stand-in."""
         body = msgspec.json.encode(Fault(kind, value, seconds))
         self.http.request("POST", self.url(name, "/faults"), body=body)
 
@@ -264,17 +266,17 @@
         self.inject_fault(name, kind, 0.0, 0.0)
 
     def fetch(self, name: str, path: str, kind: type) -> object:
-        """Return a stand-in's record as a typed value."""
+        """GET a path of a stand-in and return its JSON body, decoded to a type."""
         reply = self.http.request("GET", self.url(name, path))
         return msgspec.json.decode(reply.data, type=kind)
 
     def replace_host(self, name: str) -> None:
-        """Start a host's process again at the same addresses, after it has ended."""
+        """Restart a host at the same addresses after its process has ended."""
         self.by_name[name].start()
         self.wait_host(name)
 
     def stop(self) -> None:
-        """End every process that this fleet started."""
+        """Kill every process that this fleet started."""
         for process in self.by_name.values():
             if process.is_running:
                 process.thaw()
@@ -283,5 +285,5 @@
 
 
 def caller_key(workspace: str) -> str:
-    """Return the caller's key of a workspace in a fleet."""
+    """Return the API key of a workspace in a fleet."""
     return f"key-of-{workspace}"
--- a/libs/standins/ruddersaddle_standins/mutations.py
+++ b/libs/standins/ruddersaddle_standins/mutations.py
@@ -1,7 +1,7 @@
-"""Shows that the proofs can fail: each mutation takes one mechanism out of a copy of the tree.
+"""Mutation testing: removes one mechanism from a copy of the source tree and runs its test.
 
-`mutations.ini` names, for each, the file, the text taken out, what stands in its place, and the
-test that has to fail on the copy. Nothing of the tree itself is changed.
+For each mutation, `mutations.ini` names the file, the text to replace, its replacement, and the
+test that must fail on the copy. The source tree itself is not changed.
 """
 
 import configparser
@@ -19,13 +19,13 @@
 
 from ruddersaddle_standins.suites import LIBRARIES
 
-FILE = "mutations.ini"
-LIMIT_S = 240.0
-FIGURE = re.compile(r"^(?:AssertionError|TimeoutError|\w*Error).*", re.MULTILINE)
+MUTATIONS_FILE = "mutations.ini"
+TIMEOUT_S = 240.0
+ERROR_LINE = re.compile(r"^(?:AssertionError|TimeoutError|\w*Error).*", re.MULTILINE)
 
 
 class Mutation(msgspec.Struct, frozen=True):
-    """One mechanism taken out, and the test that has to notice."""
+    """A mechanism to remove, and the test that must fail without it."""
 
     name: str
     promise: str
@@ -36,34 +36,36 @@
 
 
 class Outcome(msgspec.Struct, frozen=True):
-    """Whether the test noticed, and the figure with which it failed."""
+    """Whether the test detected the mutation, and the error with which it failed."""
 
     mutation: str
     promise: str
-    noticed: bool
-    figure: str
+    is_detected: bool
+    error_line: str
     seconds: float
 
 
 def read_mutations() -> list[Mutation]:
-    """Return the committed mutations."""
+    """Return all mutations of `mutations.ini`."""
     parser = configparser.ConfigParser(interpolation=None)
-    text = (resources.files("ruddersaddle_standins") / FILE).read_text()
+    text = (resources.files("ruddersaddle_standins") / MUTATIONS_FILE).read_text()
     parser.read_string(text)
     return [msgspec.convert({"name": name, **parser[name]}, Mutation) for name in parser.sections()]
 
 
 def run_mutation(root: Path, mutation: Mutation) -> Outcome:
-    """Run the mutation's test on a copy of the tree without its mechanism."""
+    """Run the test of a mutation on a copy of the source tree without its mechanism."""
     with tempfile.TemporaryDirectory(prefix="ruddersaddle-mutation-") as folder:
         copy = Path(folder) / "libs"
         shutil.copytree(root / "libs", copy, ignore=shutil.ignore_patterns("__pycache__"))
         target = copy / mutation.file
         text = target.read_text()
-        old = unquote(mutation.old)
+        old = strip_bars(mutation.old)
         if text.count(old) != 1:
-            raise ValueError(f"{mutation.name}: its text stands {text.count(old)} times")
-        target.write_text(text.replace(old, unquote(mutation.new)))
+            raise ValueError(
+                f"{mutation.name}: text to replace found {text.count(old)} times, expected once"
+            )
+        target.write_text(text.replace(old, strip_bars(mutation.new)))
         return _run_test(copy, mutation)
 
 
@@ -71,29 +73,29 @@
     paths = os.pathsep.join(str(copy / name) for name in LIBRARIES)
     environment = {**os.environ, "PYTHONPATH": paths}
     command = [sys.executable, "-m", "unittest", "-f", mutation.test]
-    began = time.monotonic()
+    started_at = time.monotonic()
     done = subprocess.run(
-        command, env=environment, capture_output=True, text=True, timeout=LIMIT_S, check=False
+        command, env=environment, capture_output=True, text=True, timeout=TIMEOUT_S, check=False
     )
-    figures = FIGURE.findall(done.stderr)
-    figure = figures[-1] if figures else ""
-    elapsed = time.monotonic() - began
-    return Outcome(mutation.name, mutation.promise, done.returncode != 0, figure, elapsed)
+    error_lines = ERROR_LINE.findall(done.stderr)
+    error_line = error_lines[-1] if error_lines else ""
+    elapsed = time.monotonic() - started_at
+    return Outcome(mutation.name, mutation.promise, done.returncode != 0, error_line, elapsed)
 
 
-def unquote(text: str) -> str:
-    """Return a text of the file with its marks of line ends and leading blanks taken out."""
+def strip_bars(text: str) -> str:
+    """Return a text without the bars that protect the indentation of its lines."""
     return "\n".join(line.removeprefix("|") for line in text.strip("\n").split("\n"))
 
 
 def run_all(names: list[str]) -> bool:
-    """Run all mutations or those named; return whether every one was noticed."""
+    """Run all mutations, or those named; return whether every one was detected."""
     chosen = [each for each in read_mutations() if not names or each.name in names]
-    noticed = True
+    is_detected = True
     for mutation in chosen:
         outcome = run_mutation(Path.cwd(), mutation)
-        noticed = noticed and outcome.noticed
-        word = "fails without it" if outcome.noticed else "NOT NOTICED"
-        print(f"{outcome.promise} {outcome.mutation}: {word} ({outcome.seconds:.0f} s)")
-        print(f"    {outcome.figure[:160]}", flush=True)
-    return noticed
+        is_detected = is_detected and outcome.is_detected
+        verdict = "fails without it" if outcome.is_detected else "NOT DETECTED"
+        print(f"{outcome.promise} {outcome.mutation}: {verdict} ({outcome.seconds:.0f} s)")
+        print(f"    {outcome.error_line[:160]}", flush=True)
+    return is_detected
--- a/libs/standins/ruddersaddle_standins/port_blocks.py
+++ b/libs/standins/ruddersaddle_standins/port_blocks.py
@@ -1,9 +1,9 @@
-"""Loopback ports for processes that a test starts, kept apart from other tests' and callers' ports.
+"""Allocates loopback ports for the processes of a test, without conflicts between test processes.
 
-A port that was bound, noted and released could be taken before the process came up: by a connection
-of any process, or by another test. Two of 26 soaks that ran beside one another failed to start a
-host so. Ports here lie below those that the system gives to connections, and each test process
-keeps the blocks that it draws from by a socket that stays bound.
+A port found by binding to port 0 and closing the socket may be taken before the process binds it:
+by an outgoing connection, or by another test. That made 2 of 26 parallel soak runs fail to start a
+host. So ports are taken from below the ephemeral range of the system, and each test process
+reserves blocks of them by sockets that stay bound.
 """
 
 import atexit
@@ -15,30 +15,30 @@
 LOOPBACK = "127.0.0.1"
 FIRST_PORT = 10_000
 END_PORT = 32_000
-"""Systems give ports from 32,768 on to connections (`ip_local_port_range`)."""
-BLOCK = 50
-"""Ports of one block; the first is the one that keeps it."""
+"""The ephemeral ports of Linux begin at 32,768 (`ip_local_port_range`)."""
+BLOCK_SIZE = 50
+"""Ports per block; the first one is bound to reserve the block."""
 
-_guard = threading.Lock()
+_lock = threading.Lock()
 
 
-def _take_ports() -> Iterator[int]:
-    for first in range(FIRST_PORT, END_PORT, BLOCK):
-        keeper = socket.socket()
+def _allocate_ports() -> Iterator[int]:
+    for first in range(FIRST_PORT, END_PORT, BLOCK_SIZE):
+        reservation = socket.socket()
         try:
-            keeper.bind((LOOPBACK, first))
+            reservation.bind((LOOPBACK, first))
         except OSError:
-            # Another test process keeps this block.
-            keeper.close()
+            # Another test process has reserved this block.
+            reservation.close()
             continue
-        # The registration holds the socket as long as the process lives.
-        atexit.register(keeper.close)
-        yield from filter(_is_free, range(first + 1, first + BLOCK))
-    raise OSError("all blocks of ports are taken")
+        # The registration keeps the socket open as long as the process lives.
+        atexit.register(reservation.close)
+        yield from filter(_is_free, range(first + 1, first + BLOCK_SIZE))
+    raise OSError("all port blocks are reserved by other processes")
 
 
 def _is_free(port: int) -> bool:
-    """Return whether nothing listens there: a program outside of the tests may."""
+    """Return whether nothing listens there; programs other than tests may."""
     with socket.socket() as probe:
         probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
@@ -48,10 +48,10 @@
         return True
 
 
-_ports = _take_ports()
+_ports = _allocate_ports()
 
 
 def free_ports(count: int) -> list[int]:
-    """Return ports on loopback that nothing else is given while this process lives."""
-    with _guard:
+    """Return loopback ports that are given to nothing else while this process lives."""
+    with _lock:
         return list(itertools.islice(_ports, count))
--- a/libs/standins/ruddersaddle_standins/processes.py
+++ b/libs/standins/ruddersaddle_standins/processes.py
@@ -1,4 +1,4 @@
-"""Processes of a test or a measure: started, killed, frozen, let go and ended, by id."""
+"""Starts, freezes, resumes and ends the processes of a test or measurement."""
 
 import os
 import signal
@@ -9,13 +9,13 @@
 
 import urllib3
 
-START_S = 15.0
-STOP_S = 20.0
-STEP_S = 0.02
+START_TIMEOUT_S = 15.0
+STOP_TIMEOUT_S = 20.0
+POLL_INTERVAL_S = 0.02
 
 
 class Process:
-    """One process that this tool started; its output goes to a file."""
+    """A child process; its output goes to a file."""
 
     def __init__(self, name: str, module: str, arguments: list[str], folder: Path) -> None:
         self.name = name
@@ -24,7 +24,7 @@
         self.child: subprocess.Popen | None = None
 
     def start(self) -> None:
-        """Start the process, or start it again."""
+        """Start or restart the process."""
         with self.output.open("ab") as file:
             self.child = subprocess.Popen(
                 self.command, stdout=file, stderr=file, stdin=subprocess.DEVNULL
@@ -36,45 +36,45 @@
         return self.child is not None and self.child.poll() is None
 
     def kill(self) -> None:
-        """End the process at once."""
+        """Kill the process."""
         if self.is_running:
             self.child.kill()
             self.child.wait()
 
     def freeze(self) -> None:
-        """Stop the process where it is."""
+        """Suspend the process."""
         if self.is_running:
             os.kill(self.child.pid, signal.SIGSTOP)
 
     def thaw(self) -> None:
-        """Let a frozen process go on."""
+        """Resume a suspended process."""
         if self.is_running:
             os.kill(self.child.pid, signal.SIGCONT)
 
     def terminate(self) -> None:
-        """Ask the process to stop as planned."""
+        """Ask the process to shut down gracefully."""
         self.child.terminate()
 
-    def wait(self, seconds: float = STOP_S) -> int:
-        """Wait for the process to end; return its exit code."""
+    def wait(self, seconds: float = STOP_TIMEOUT_S) -> int:
+        """Wait for the process to exit; return its exit code."""
         return self.child.wait(seconds)
 
     def read_output(self) -> str:
-        """Return what the process has written."""
+        """Return the output of the process so far."""
         return self.output.read_text(errors="replace")
 
 
-def wait_until(condition: object, what: str, seconds: float = START_S) -> None:
-    """Wait until `condition()` is true; raise `TimeoutError` that names `what`."""
+def wait_until(condition: object, what: str, seconds: float = START_TIMEOUT_S) -> None:
+    """Wait until `condition()` is true; raise a `TimeoutError` that names `what`."""
     deadline = time.monotonic() + seconds
     while not condition():
         if time.monotonic() >= deadline:
-            raise TimeoutError(f"{what}: not within {seconds:g} s")
-        time.sleep(STEP_S)
+            raise TimeoutError(f"{what}: not reached within {seconds:g} s")
+        time.sleep(POLL_INTERVAL_S)
 
 
 def is_good(url: str) -> bool:
-    """Return whether a GET is answered with 200."""
+    """Return whether a GET request succeeds with status 200."""
     try:
         return urllib3.request("GET", url, retries=False, timeout=1.0).status == 200
     except urllib3.exceptions.HTTPError:
--- a/libs/standins/ruddersaddle_standins/programs.py
+++ b/libs/standins/ruddersaddle_standins/programs.py
@@ -1,8 +1,8 @@
-"""Entry point of the stand-ins' program: servers run on green threads, tools on plain ones."""
+"""Entry point: stand-in servers run on green threads, tools on native ones."""
 
 import sys
 
-import ruddersaddle_base  # noqa: F401  (quiets the notice that the next import would print)
+import ruddersaddle_base  # noqa: F401  (suppresses a notice that the next import would print)
 
 SERVERS = ("log", "list", "weights", "engine", "service", "store")
 
--- a/libs/standins/ruddersaddle_standins/raw_servers.py
+++ b/libs/standins/ruddersaddle_standins/raw_servers.py
@@ -1,15 +1,15 @@
-"""A server that answers every connection with given bytes and closes it, for cut answers."""
+"""Server that sends fixed bytes on every connection and closes it, for truncated responses."""
 
 import socket
 import threading
 
 from ruddersaddle_standins.port_blocks import LOOPBACK
 
-ENOUGH_BYTES = 65536
+READ_BYTES = 65536
 
 
 class RawServer:
-    """Listens on a free port of loopback; use as a context."""
+    """Listens on a free loopback port; a context manager."""
 
     def __init__(self, answer: bytes) -> None:
         self.answer = answer
@@ -32,10 +32,10 @@
                 connection, _ = self.listener.accept()
             except OSError:
                 return
-            connection.recv(ENOUGH_BYTES)
+            connection.recv(READ_BYTES)
             connection.sendall(self.answer)
             connection.shutdown(socket.SHUT_WR)
-            # Reading on to the end keeps the close from resetting what was just sent.
-            while connection.recv(ENOUGH_BYTES):
+            # Closing with unread data would reset the connection and could discard what was sent.
+            while connection.recv(READ_BYTES):
                 pass
             connection.close()
--- a/libs/standins/ruddersaddle_standins/server_commands.py
+++ b/libs/standins/ruddersaddle_standins/server_commands.py
@@ -1,4 +1,4 @@
-"""Commands that run one stand-in each."""
+"""Commands that each run one stand-in."""
 
 import defopt
 
@@ -41,7 +41,7 @@
     """Run a model engine.
 
     :param port: port on loopback
-    :param version: weight version at the start
+    :param version: initial weight version
     :param weights: address of the weight store
     :param set: speeds as name=value
     """
@@ -52,7 +52,7 @@
     """Run a plain service.
 
     :param port: port on loopback
-    :param record: file that every run is written to
+    :param record: file to which every run is appended
     :param set: speeds as name=value
     """
     ServiceServer(read_speeds(set), record).run(port)
@@ -78,5 +78,5 @@
 
 
 def run_server() -> None:
-    """Run one stand-in until its process is ended."""
+    """Run one stand-in until its process is killed."""
     defopt.run(COMMANDS)
--- a/libs/standins/ruddersaddle_standins/sessions.py
+++ b/libs/standins/ruddersaddle_standins/sessions.py
@@ -1,4 +1,4 @@
-"""Whole sessions of a caller as text: all bytes both ways, with ids and times normalised."""
+"""Records sessions of a caller as text: all bytes in both directions, ids and times normalised."""
 
 import re
 import socket
@@ -9,7 +9,7 @@
 from ruddersaddle_standins.fleets import caller_key
 
 READ_BYTES = 65536
-NORMAL_BY_PATTERN = (
+PLACEHOLDER_BY_PATTERN = (
     (re.compile(r"\b[0-9a-f]{8}-[0-9a-f]{4}-7[0-9a-f]{3}-[0-9a-f]{4}-[0-9a-f]{12}\b"), "KEY"),
     (re.compile(r"ticket:[^\"\s]+"), "TICKET"),
     (re.compile(r"\b[0-9a-f]{16}\b"), "REQUEST"),
@@ -21,7 +21,7 @@
 
 
 class Exchange(msgspec.Struct, frozen=True):
-    """One request of a session; `headers` come after the usual ones."""
+    """One request of a session; `headers` follow the standard ones."""
 
     method: str
     path: str
@@ -31,7 +31,7 @@
     length: int | None = None
 
     def to_bytes(self, address: str) -> bytes:
-        """Return the request as it is sent."""
+        """Return the request as sent on the wire."""
         data = self.body.encode()
         lines = [f"{self.method} {self.path} HTTP/1.1", f"Host: {address}", "Connection: close"]
         if self.workspace:
@@ -44,7 +44,7 @@
 
 
 def exchange_raw(address: str, data: bytes, half_closes: bool = False) -> bytes:
-    """Send bytes and return all that comes back until the connection ends."""
+    """Send bytes and return everything received until the connection closes."""
     host, _, port = address.partition(":")
     parts = []
     with socket.create_connection((host, int(port)), timeout=TIMEOUT_S) as connection:
@@ -59,7 +59,7 @@
 
 
 def unchunk(data: bytes) -> bytes:
-    """Return an answer with its chunks joined, so that their sizes don't matter."""
+    """Return a response with its chunks joined, as chunk sizes vary."""
     head, blank, body = data.partition(b"\r\n\r\n")
     if b"Transfer-Encoding: chunked" not in head:
         return data
@@ -75,15 +75,15 @@
 
 
 def normalise(data: bytes) -> str:
-    """Return bytes as text without what differs from run to run."""
+    """Return bytes as text, with placeholders for values that differ between runs."""
     text = data.decode().replace("\r\n", "\n")
-    for pattern, normal in NORMAL_BY_PATTERN:
-        text = pattern.sub(normal, text)
+    for pattern, placeholder in PLACEHOLDER_BY_PATTERN:
+        text = pattern.sub(placeholder, text)
     return text
 
 
 def record_session(address: str, exchanges: list[Exchange]) -> str:
-    """Run a session and return it as text."""
+    """Send the requests of a session and return the session as text."""
     parts = []
     for each in exchanges:
         sent = each.to_bytes(address)
--- a/libs/standins/ruddersaddle_standins/suites.py
+++ b/libs/standins/ruddersaddle_standins/suites.py
@@ -1,6 +1,6 @@
-"""Runs every library's tests, a process for each module, and closes with a count.
+"""Runs the tests of all libraries, one process per module, and prints a summary.
 
-Known red tests are printed and passed over, never hidden.
+Failures listed in KNOWN-RED.txt are printed but don't fail the run; listed tests that pass do.
 """
 
 import logging
@@ -15,21 +15,21 @@
 LIBRARIES = ("base", "state", "upstreams", "routing", "serving", "daemon", "standins")
 KNOWN_RED_FILE = "KNOWN-RED.txt"
 KNOWN_RED_MAX = 3
-AT_ONCE = 3
-"""Modules that run at the same time; each may start a fleet of a dozen processes."""
-LIMIT_S = 600.0
-MODULE_WORD = "module"
+CONCURRENT_MODULES = 3
+"""Modules that run concurrently; each may start a fleet of a dozen processes."""
+MODULE_TIMEOUT_S = 600.0
+MODULE_COMMAND = "module"
 
 
 class KnownRed(msgspec.Struct, frozen=True):
-    """One test that fails for a real fault: its id, and its line with cause and issue."""
+    """A test that fails for a known fault: its id, and its line with cause and issue."""
 
     test: str
     line: str
 
 
 class ModuleResult(msgspec.Struct):
-    """What one module's tests gave."""
+    """Test results of one module."""
 
     module: str
     ran: int = 0
@@ -38,7 +38,7 @@
 
 
 def read_known_red(root: Path) -> list[KnownRed]:
-    """Return the known red tests; more than the allowed number is an error."""
+    """Return the known red tests; exit with an error if there are too many."""
     path = root / KNOWN_RED_FILE
     if not path.exists():
         return []
@@ -49,7 +49,7 @@
 
 
 def find_modules(root: Path) -> list[str]:
-    """Return the names of all test modules; the longest files first."""
+    """Return the names of all test modules, largest files first."""
     found = [*root.glob("libs/*/*/tests/test_*.py"), *root.glob("platform/*/tests/test_*.py")]
     paths = sorted(found, key=_size, reverse=True)
     return [".".join(path.parts[-3:]).removesuffix(".py") for path in paths]
@@ -60,7 +60,7 @@
 
 
 def run_module(module: str) -> ModuleResult:
-    """Run one module's tests in this process."""
+    """Run the tests of one module in this process."""
     logging.getLogger().addHandler(logging.NullHandler())
     suite = unittest.defaultTestLoader.loadTestsFromName(module)
     result = unittest.TextTestRunner(verbosity=2).run(suite)
@@ -69,25 +69,27 @@
 
 
 def name_test(test: unittest.TestCase) -> str:
-    """Return a test's id, and that of its test for a subtest, as KNOWN-RED.txt lists it."""
+    """Return the id of a test as listed in KNOWN-RED.txt; for a subtest, that of its test."""
     return getattr(test, "test_case", test).id()
 
 
 def start_module(module: str) -> ModuleResult:
-    """Run one module's tests in a process of their own, and print what it wrote."""
-    command = [sys.executable, "-m", __spec__.name, MODULE_WORD, module]
-    done = subprocess.run(command, capture_output=True, text=True, timeout=LIMIT_S, check=False)
+    """Run the tests of one module in a new process, and print its output."""
+    command = [sys.executable, "-m", __spec__.name, MODULE_COMMAND, module]
+    done = subprocess.run(
+        command, capture_output=True, text=True, timeout=MODULE_TIMEOUT_S, check=False
+    )
     sys.stderr.write(done.stderr)
     lines = done.stdout.splitlines()
     if done.returncode or not lines:
-        return ModuleResult(module, 1, 0, [f"{module} ended with {done.returncode}"])
+        return ModuleResult(module, 1, 0, [f"{module} exited with code {done.returncode}"])
     return msgspec.json.decode(lines[-1], type=ModuleResult)
 
 
 def run_all(root: Path) -> int:
     """Run all modules; return the exit code."""
     known = read_known_red(root)
-    with ThreadPoolExecutor(AT_ONCE) as pool:
+    with ThreadPoolExecutor(CONCURRENT_MODULES) as pool:
         results = list(pool.map(start_module, find_modules(root)))
     ran = sum(result.ran for result in results)
     skipped = sum(result.skipped for result in results)
@@ -95,7 +97,7 @@
     names = {each.test for each in known}
     red = [test for test in failed if test in names]
     for each in known:
-        state = "red" if each.test in red else "green now: take its line out"
+        state = "red" if each.test in red else "passes now: remove its line"
         print(f"known red ({state}): {each.line}")
     for test in failed:
         print(f"failed: {test}")
@@ -106,8 +108,8 @@
 
 
 def main() -> int:
-    """Run all modules, or one of them in this process."""
-    if len(sys.argv) == 3 and sys.argv[1] == MODULE_WORD:
+    """Run all modules, or a single one in this process."""
+    if len(sys.argv) == 3 and sys.argv[1] == MODULE_COMMAND:
         result = run_module(sys.argv[2])
         print(msgspec.json.encode(result).decode())
         return 0
--- a/libs/standins/ruddersaddle_standins/tests/test_planned_stops.py
+++ b/libs/standins/ruddersaddle_standins/tests/test_planned_stops.py
@@ -55,7 +55,7 @@
             process.terminate()
             self.assertEqual(process.wait(), 0)
             fleet.replace_host(name)
-            balancer.await_listed(name)
+            balancer.wait_until_ready(name)
         stop.set()
         for caller in callers:
             caller.join()
--- a/libs/standins/ruddersaddle_standins/tests/test_port_blocks.py
+++ b/libs/standins/ruddersaddle_standins/tests/test_port_blocks.py
@@ -5,7 +5,7 @@
 import sys
 import unittest
 
-from ruddersaddle_standins.port_blocks import BLOCK, END_PORT, LOOPBACK, free_ports
+from ruddersaddle_standins.port_blocks import BLOCK_SIZE, END_PORT, LOOPBACK, free_ports
 
 PROGRAM = (
     "from ruddersaddle_standins.port_blocks import free_ports\n"
@@ -30,8 +30,8 @@
         self.assertEqual(len(set(given)), 9, given)
 
     def test_ports_are_given_once_and_below_those_of_connections(self) -> None:
-        ports = free_ports(2 * BLOCK)
-        self.assertEqual(len(set(ports)), 2 * BLOCK)
+        ports = free_ports(2 * BLOCK_SIZE)
+        self.assertEqual(len(set(ports)), 2 * BLOCK_SIZE)
         self.assertLess(max(ports), END_PORT)
 
     def test_port_that_is_listened_on_is_passed_over(self) -> None:
--- a/libs/standins/ruddersaddle_standins/tool_commands.py
+++ b/libs/standins/ruddersaddle_standins/tool_commands.py
@@ -1,4 +1,4 @@
-"""Commands of the tools: the demo, and what later modules measure."""
+"""Commands of the tools: demo, fault rounds, mutations and measurements."""
 
 import sys
 import time
@@ -16,7 +16,7 @@
 
 
 def demo(*, topology: str = "akureyri") -> None:
-    """Show a returning prompt served end to end by separate processes.
+    """Show how a repeated prompt is served end to end by separate processes.
 
     :param topology: akureyri or casablanca
     """
@@ -24,52 +24,52 @@
 
 
 def faults(*, seed: int = 1, rounds: int = 20, seconds: float = 600.0) -> None:
-    """Run rounds of drawn faults against calls that may not be repeated.
+    """Run rounds of random faults against calls that must run at most once.
 
-    :param seed: seed of the first round; each round adds one
-    :param rounds: how many rounds
-    :param seconds: no round starts after so many seconds
+    :param seed: seed of the first round, increased by one for each further round
+    :param rounds: number of rounds
+    :param seconds: time after which no further round starts
     """
-    latest = time.monotonic() + seconds
-    bad = 0
+    deadline = time.monotonic() + seconds
+    failed_count = 0
     with Fleet(Topology(hosts=3, services=2, engines=1, stores=0)) as fleet:
-        tool = FaultRounds(fleet)
+        fault_rounds = FaultRounds(fleet)
         for number in range(seed, seed + rounds):
-            if time.monotonic() > latest:
+            if time.monotonic() > deadline:
                 print(f"out of time before seed {number}")
                 break
-            report = tool.run(number)
-            bad += not report.is_good
+            report = fault_rounds.run(number)
+            failed_count += not report.is_good
             print(describe_round(report), flush=True)
-    sys.exit(1 if bad else 0)
+    sys.exit(1 if failed_count else 0)
 
 
 def mutations(*names: str) -> None:
-    """Show that each proof fails on a copy of the tree without its mechanism.
+    """Check that tests fail on a copy of the source tree without the mechanism that they guard.
 
-    :param names: mutations to run; all if none is named
+    :param names: mutations to run, all by default
     """
     sys.exit(0 if run_all(list(names)) else 1)
 
 
 def bench(*, seed: int = 1, topology: str = "", quick: bool = False) -> None:
-    """Run the traces of the deployments through the product and plain baselines.
+    """Replay the traces of the deployments with the product and with simple baselines.
 
     :param seed: seed of the traces
-    :param topology: akureyri or casablanca; both if none is named
-    :param quick: only the strongest baselines
+    :param topology: akureyri or casablanca, both by default
+    :param quick: compare with the strongest baselines only
     """
     names = (topology,) if topology else NAMES
     sys.exit(0 if run_bench(seed, names, quick) else 1)
 
 
 def relay() -> None:
-    """Measure the cost of one relayed token with and without gathering."""
+    """Measure the cost of relaying one token with and without gathering."""
     run_relays()
 
 
 def capacity() -> None:
-    """Measure the slopes of docs/CAPACITY.md and rewrite its table."""
+    """Measure how resource usage grows and rewrite the table in docs/CAPACITY.md."""
     run_capacity()
 
 
--- a/libs/standins/ruddersaddle_standins/topologies.py
+++ b/libs/standins/ruddersaddle_standins/topologies.py
@@ -1,4 +1,4 @@
-"""Topologies of the users' deployments, as INI files beside this module."""
+"""Loads the topologies of the deployments from INI files of this package."""
 
 import configparser
 from importlib import resources
@@ -12,7 +12,7 @@
 
 
 def load_topology(name: str) -> Topology:
-    """Return a deployment's topology; `ValueError` for an unknown name."""
+    """Return the topology of a deployment; `ValueError` for an unknown name."""
     if name not in NAMES:
         raise ValueError(f"topology {name}: expected {suggest(name, NAMES)}")
     parser = configparser.ConfigParser()
--- a/libs/standins/ruddersaddle_standins/trace_generators.py
+++ b/libs/standins/ruddersaddle_standins/trace_generators.py
@@ -1,7 +1,7 @@
-"""Seeded traces of both deployments: quiet times, a marked event, returns, a flood, faults.
+"""Seeded traces of both deployments: low load, an announced event, repeats, a flood, faults.
 
-Times are scaled down: what takes minutes to hours in the deployments takes seconds here, and the
-engines' caches are made smaller by as much (see `deployments/*.ini`).
+Time is scaled down: seconds here stand for minutes to hours in the deployments, and the engines'
+caches are smaller in proportion (see `deployments/*.ini`).
 """
 
 import random
@@ -18,12 +18,12 @@
 CONTEXTS = 30
 URGENT = "urgent"
 LARGE = 2
-"""How many workspaces, from the first on, are large; the first one floods."""
+"""Number of large workspaces, which come first; the first of them floods."""
 FLOOD = 40
 
 
 def generate_akureyri(seed: int, workspaces: tuple[str, ...]) -> list[TraceLine]:
-    """Return the booking line's opening: every clinic's template fires at once."""
+    """Return the opening of the booking line: the templates of all clinics are used at once."""
     rng = random.Random(seed)
     lines = _quiet_contexts(rng, workspaces, tokens=1800)
     for number, workspace in enumerate(workspaces):
@@ -36,7 +36,7 @@
 
 
 def generate_casablanca(seed: int, workspaces: tuple[str, ...]) -> list[TraceLine]:
-    """Return a tariff change: all members requote over long shared prefixes."""
+    """Return a tariff change: all members request new quotes over long shared prefixes."""
     rng = random.Random(seed)
     lines = _quiet_contexts(rng, workspaces, tokens=2400)
     for number, workspace in enumerate(workspaces):
@@ -50,7 +50,7 @@
 
 
 def with_faults(lines: list[TraceLine]) -> list[TraceLine]:
-    """Return a trace with an engine lost at the peak, the log out and a slow link."""
+    """Return a trace with a lost engine at the peak, an outage of the log and a slow link."""
     faults: list[TraceLine] = [
         Fault(EVENT_AT_S + 0.5, "refuse", "log", 2.0),
         Fault(EVENT_AT_S + 0.8, "kill", "engine-5"),
@@ -60,7 +60,7 @@
 
 
 def state_outcomes(lines: list[TraceLine]) -> list[TraceLine]:
-    """Return what a replay of a trace has to show: nothing doubled, cut or wrong."""
+    """Return the expected outcomes of a replay: nothing duplicated, cut or wrong."""
     prompts = sum(isinstance(line, Arrival) and line.path == COMPLETIONS for line in lines)
     return [
         ExpectedOutcome("wrong_answers", 0, 0),
