--- a/libs/standins/ruddersaddle_standins/tests/test_at_most_once.py
+++ b/libs/standins/ruddersaddle_standins/tests/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""Promises 5 and 6: a call that may not be repeated runs at most once, and `not_run` is true."""
+"""Non-repeatable calls run at most once, and none runs after `not_run` was reported."""
 
 import time
 import unittest
@@ -44,7 +44,7 @@
         self.assertEqual(len({result.body for result in results}), 1)
         self.assertEqual(self.count_runs(), 1)
 
-    def test_a_later_repeat_through_another_host_gets_the_same_whole_answer(self):
+    def test_a_later_repeat_through_another_host_gets_the_same_response(self):
         first = self.call("host-1")
         again = self.call("host-2")
         self.assertEqual((again.status, again.body), (200, first.body))
@@ -55,26 +55,26 @@
         other = self.client.call(self.fleet.address_by_name["host-2"], PATH, "other", self.key)
         self.assertEqual((other.status, other.error.code), (422, "key_mismatch"))
 
-    def test_a_key_of_another_workspace_is_another_key(self):
+    def test_a_key_of_another_workspace_is_a_different_key(self):
         self.call("host-1")
         other = Client("clinic-2", keep_alive=False)
         result = other.call(self.fleet.address_by_name["host-1"], PATH, "other's", self.key)
         self.assertEqual(result.status, 200)
         self.assertNotIn(self.body.encode(), result.body)
 
-    def test_keys_without_a_date_or_past_the_memory_never_run(self):
+    def test_keys_that_are_undated_or_expired_never_run(self):
         for key, code in (("plain", "key_not_dated"), (new_key(7200), "key_expired")):
             result = self.call("host-1", key)
             self.assertEqual(result.error.code, code)
         self.assertEqual(self.count_runs(), 0)
 
-    def test_a_refusal_before_the_claim_does_not_say_not_run_of_a_key_that_runs(self):
-        """An earlier try may be under way elsewhere; `not_run` is a statement about the key."""
+    def test_a_refusal_before_the_claim_does_not_report_not_run_for_a_running_key(self):
+        """An earlier attempt may be running on another host; `not_run` refers to the key."""
         self.fleet.inject_fault("service-1", "slow", 1.0, 2.0)
         with ThreadPoolExecutor(1) as pool:
             first = pool.submit(self.call, "host-1")
             self.await_run()
-            words = {
+            outcomes = {
                 self.call("host-2", retry_token="x").outcome,
                 self.call("host-2", deadline_ms="soon").outcome,
                 self.call("host-2", priority_class="none").outcome,
@@ -84,7 +84,7 @@
                 ).outcome,
             }
             self.assertEqual(first.result().status, 200)
-        self.assertEqual(words, {"unknown"})
+        self.assertEqual(outcomes, {"unknown"})
 
     def test_the_owner_killed_after_dispatch_leaves_unknown_and_no_second_run(self):
         self.fleet.inject_fault("service-1", "slow", 1.5, 3.0)
@@ -100,8 +100,8 @@
         self.assertEqual(self.call("host-1").outcome, "unknown")
         self.assertEqual(self.count_runs(), 1)
 
-    def test_the_owner_frozen_between_claim_and_dispatch_runs_once_when_let_go(self):
-        """The claim lands while its host is frozen; a repeat elsewhere must not run beside it."""
+    def test_the_owner_frozen_between_claim_and_dispatch_runs_once_after_it_resumes(self):
+        """The claim lands while its host is frozen; a repeat elsewhere must not run as well."""
         self.fleet.inject_fault("log", "late", 0.6, 0.5)
         with ThreadPoolExecutor(1) as pool:
             first = pool.submit(self.call, "host-1")
@@ -115,7 +115,7 @@
         self.assertEqual(self.count_runs(), int(first.result().outcome == "answered"))
         self.assertEqual(repeat.outcome == "answered", first.result().outcome == "answered")
 
-    def test_a_lost_answer_of_the_log_does_not_stop_the_call(self):
+    def test_a_lost_response_of_the_log_does_not_stop_the_call(self):
         self.fleet.inject_fault("log", "lose", 1)
         result = self.call("host-1")
         self.assertEqual(result.status, 200)
@@ -127,23 +127,23 @@
         self.assertEqual(refused.outcome, "not_run")
         self.fleet.by_name["service-1"].start()
         self.fleet.wait_healthy("service-1")
-        stuck = self.call("host-2")
-        self.assertEqual(stuck.outcome, "not_run")
+        repeated = self.call("host-2")
+        self.assertEqual(repeated.outcome, "not_run")
         self.assertEqual(self.count_runs(), 0)
-        retry = self.call("host-3", retry_token=stuck.retry_token)
+        retry = self.call("host-3", retry_token=repeated.retry_token)
         self.assertEqual(retry.status, 200)
         older = self.call("host-1", retry_token=refused.retry_token)
         self.assertEqual(older.body, retry.body)
         self.assertEqual(self.count_runs(), 1)
 
-    def test_an_answer_that_was_cut_is_unknown_and_stays_so(self):
+    def test_a_truncated_response_is_unknown_and_stays_so(self):
         self.fleet.inject_fault("service-1", "drop", 1)
         first = self.call("host-1", deadline_ms="700")
         self.assertEqual(first.outcome, "unknown")
         self.assertEqual(self.call("host-2").outcome, "unknown")
         self.assertEqual(self.count_runs(), 1)
 
-    def test_in_an_outage_keys_end_unknown_at_once_and_tickets_are_served(self):
+    def test_in_an_outage_of_the_log_keys_end_unknown_and_tickets_are_served(self):
         ticket = self.client.ticket(self.fleet.address_by_name["host-1"])
         self.fleet.inject_fault("log", "refuse")
         self.addCleanup(self.fleet.clear_fault, "log", "refuse")
@@ -158,7 +158,7 @@
         self.assertEqual(len({result.body for result in results}), 1)
         self.assertEqual(self.count_runs(), 1)
 
-    def test_a_ticket_of_a_process_that_is_gone_is_unknown_and_never_runs(self):
+    def test_a_ticket_of_a_killed_process_is_unknown_and_never_runs(self):
         ticket = self.client.ticket(self.fleet.address_by_name["host-3"])
         self.fleet.by_name["host-3"].kill()
         self.assertEqual(self.call("host-1", ticket).outcome, "unknown")
@@ -181,7 +181,7 @@
             self.assertEqual(ticketed.result().status, 200)
         self.assertEqual(self.count_runs(), 1)
 
-    def test_a_ticket_told_not_run_stays_closed(self):
+    def test_a_ticket_reported_not_run_stays_closed(self):
         ticket = self.client.ticket(self.fleet.address_by_name["host-1"])
         self.fleet.by_name["service-1"].kill()
         self.assertEqual(self.call("host-2", ticket).outcome, "not_run")
--- a/libs/standins/ruddersaddle_standins/tests/test_binaries.py
+++ b/libs/standins/ruddersaddle_standins/tests/test_binaries.py
@@ -1,4 +1,4 @@
-"""The one executable: built, started, and alone in its process tree."""
+"""The executable is built and serves, without child processes and without stand-ins."""
 
 import os
 import subprocess
@@ -13,7 +13,7 @@
 
 
 class BinaryTest(unittest.TestCase):
-    def test_it_serves_without_any_child_and_holds_no_stand_ins(self):
+    def test_executable_serves_without_children_and_contains_no_stand_ins(self):
         with tempfile.TemporaryDirectory() as folder:
             target = Path(folder) / "ruddersaddle"
             build(target)
--- a/libs/standins/ruddersaddle_standins/tests/test_commands.py
+++ b/libs/standins/ruddersaddle_standins/tests/test_commands.py
@@ -1,4 +1,4 @@
-"""The operators' command line against running processes: words, exit codes, JSON."""
+"""The operators' command line against running processes: output, exit codes, JSON."""
 
 import json
 import subprocess
@@ -22,8 +22,8 @@
         cls.addClassCleanup(cls.fleet.stop)
         cls.address = cls.fleet.address_by_name["host-1"]
 
-    def run_command(self, *words: str) -> subprocess.CompletedProcess:
-        command = [sys.executable, "-m", "ruddersaddle.programs", *words]
+    def run_command(self, *arguments: str) -> subprocess.CompletedProcess:
+        command = [sys.executable, "-m", "ruddersaddle.programs", *arguments]
         addresses = self.fleet.address_by_name
         environment = {
             "RUDDERSADDLE_PLATFORM_LOG": addresses["log"],
@@ -45,26 +45,27 @@
         text = CHANGE.format(digest=", ".join(digests), weight=weight)
         return self.write(f"change-{weight}.ini", text)
 
-    def test_publishing_ends_accepted_and_in_force_and_then_unchanged(self):
+    def test_published_change_is_accepted_and_in_force_and_unchanged_when_repeated(self):
         file = self.change(5)
         done = self.run_command("config", "publish", file, "--author", "anna", "--json")
         self.assertEqual(done.returncode, 0, done.stderr)
-        told = json.loads(done.stdout)
+        published = json.loads(done.stdout)
         self.assertEqual(
-            (told["word"], told["hosts_in_force"], told["hosts_listed"]), ("accepted", 1, 1)
+            (published["word"], published["hosts_in_force"], published["hosts_listed"]),
+            ("accepted", 1, 1),
         )
         again = self.run_command("config", "publish", file)
         self.assertIn("unchanged", again.stdout)
-        fate = self.run_command("config", "show", "--change", told["change"])
+        fate = self.run_command("config", "show", "--change", published["change"])
         self.assertIn("accepted", fate.stdout)
         history = json.loads(self.run_command("config", "history", "--json").stdout)
-        row = next(row for row in history if row["change"] == told["change"])
+        row = next(row for row in history if row["change"] == published["change"])
         self.assertEqual((row["author"], row["outcome"]), ("anna", "accepted"))
         shown = self.run_command("config", "show")
         self.assertIn("[workspace:clinic-1]", shown.stdout)
         self.assertIn("weight = 5", shown.stdout)
 
-    def test_a_wrong_file_is_refused_before_publishing(self):
+    def test_invalid_file_is_refused_before_publishing(self):
         file = self.write("wrong.ini", "[workspace:a]\nwieght = 1\n")
         for command in ("check", "publish"):
             done = self.run_command("config", command, file)
@@ -73,11 +74,11 @@
                 "wrong.ini:2: workspace:a.wieght: a known key; the nearest is weight", done.stderr
             )
 
-    def test_a_change_that_has_not_landed_is_unknown(self):
+    def test_change_that_has_not_landed_is_unknown(self):
         done = self.run_command("config", "show", "--change", "0" * 32)
         self.assertEqual(done.returncode, 4)
 
-    def test_an_unreachable_log_is_told(self):
+    def test_unreachable_log_is_reported(self):
         done = self.run_command("config", "show", "--log", "127.0.0.1:1")
         self.assertEqual(done.returncode, 5)
         self.assertIn("was not reached", done.stderr)
@@ -92,20 +93,20 @@
         self.assertIn(b"ruddersaddle_generations_finished_total", metrics)
         self.assertEqual(self.run_command("status", "127.0.0.1:1").returncode, 5)
 
-    def test_wrong_settings_stop_the_start(self):
+    def test_invalid_settings_prevent_the_start(self):
         file = self.write("host.ini", "[host]\nport = many\n")
         done = self.run_command("serve", "--file", file)
         self.assertEqual(done.returncode, 2)
         self.assertIn("host.ini:2: host.port: expected int", done.stderr)
 
-    def test_a_digest_is_what_is_published(self):
+    def test_digest_command_gives_the_published_digest(self):
         command = [sys.executable, "-m", "ruddersaddle.programs", "config", "digest"]
         key = caller_key("clinic-1")
         done = subprocess.run(command, input=key, capture_output=True, text=True, check=True)
         present = self.fleet.publisher.configuration.by_key["workspace/clinic-1"].value
         self.assertIn(done.stdout.strip(), present.key_digests)
 
-    def test_a_trace_is_replayed_against_its_outcomes(self):
+    def test_trace_replay_checks_expected_outcomes(self):
         path = str(Path(self.fleet.folder) / "trace.jsonl")
         prompt = Arrival(0.0, "clinic-1", "/v1/completions", prompt_tokens=50, answer_tokens=3)
         call = Arrival(0.1, "clinic-2", "/booking/slot")
@@ -113,15 +114,15 @@
         write_trace(path, [prompt, call, *good, ExpectedOutcome("wrong_answers", 0, 0)])
         keys = [f"{name} = {caller_key(name)}" for name in ("clinic-1", "clinic-2")]
         file = self.write("keys.ini", "\n".join(["[keys]", *keys]))
-        words = ("trace", "replay", path, "--address", self.address, "--keys", file, "--json")
-        done = self.run_command(*words)
+        arguments = ("trace", "replay", path, "--address", self.address, "--keys", file, "--json")
+        done = self.run_command(*arguments)
         self.assertEqual(done.returncode, 0, done.stderr)
         report = json.loads(done.stdout)
         self.assertEqual((report["broken"], report["not_judged"]), ([], ["wrong_answers"]))
         write_trace(path, [prompt, ExpectedOutcome("answered_prompts", 2, 2)])
-        self.assertEqual(self.run_command(*words).returncode, 1)
+        self.assertEqual(self.run_command(*arguments).returncode, 1)
 
-    def test_drain_is_the_planned_stop(self):
+    def test_drain_stops_the_host_gracefully(self):
         name = "host-2"
         process = self.fleet.add_host(name)
         self.fleet.publish_list()
--- a/libs/standins/ruddersaddle_standins/tests/test_configuration_force.py
+++ b/libs/standins/ruddersaddle_standins/tests/test_configuration_force.py
@@ -1,4 +1,4 @@
-"""Promise 9: an accepted configuration is in force everywhere within seconds, never reverts."""
+"""An accepted configuration is in force on all hosts within seconds and never reverts."""
 
 import json
 import subprocess
@@ -54,18 +54,22 @@
         self.fleet.publisher.read()
         return self.fleet.publisher.configuration.get(Workspace, "clinic-1").weight
 
-    def await_alike(self) -> None:
-        """Wait until every host has the state that the log's end gives."""
+    def wait_until_consistent(self) -> None:
+        """Wait until every host has the configuration at the end of the log."""
         self.fleet.publisher.read()
         wanted = self.fleet.publisher.configuration.digest()
         for name in self.fleet.host_names():
-            wait_until(lambda host=name: self.digest(host) == wanted, f"{name} alike", IN_FORCE_S)
+            wait_until(
+                lambda host=name: self.digest(host) == wanted,
+                f"{name} has the newest configuration",
+                IN_FORCE_S,
+            )
 
     def digest(self, name: str) -> str:
         status = self.fleet.status(name)
         return "" if isinstance(status, Failure) else status.configuration_digest
 
-    def test_of_racing_operators_one_is_accepted_and_all_words_are_true(self):
+    def test_of_racing_operators_one_is_accepted_and_the_others_are_rejected(self):
         publishers = [self.publisher() for _ in range(6)]
         edits = [self.edit(each, 10 + number) for number, each in enumerate(publishers)]
 
@@ -74,44 +78,44 @@
 
         with ThreadPoolExecutor(6) as pool:
             results = list(pool.map(publish, range(6)))
-        words = [result.word for result in results]
-        self.assertEqual(words.count(PublishOutcome.ACCEPTED), 1)
-        self.assertEqual(words.count(PublishOutcome.REJECTED), 5)
-        winner = words.index(PublishOutcome.ACCEPTED)
+        outcomes = [result.word for result in results]
+        self.assertEqual(outcomes.count(PublishOutcome.ACCEPTED), 1)
+        self.assertEqual(outcomes.count(PublishOutcome.REJECTED), 5)
+        winner = outcomes.index(PublishOutcome.ACCEPTED)
         self.assertEqual(self.weight(), 10 + winner)
         losers = [result for result in results if result.word is PublishOutcome.REJECTED]
         self.assertTrue(all(results[winner].change in result.reason for result in losers))
-        self.await_alike()
+        self.wait_until_consistent()
 
-    def test_a_lost_answer_ends_accepted_since_the_change_is_read_back(self):
+    def test_lost_response_ends_accepted_as_the_change_is_read_back(self):
         publisher = self.publisher()
         self.fleet.inject_fault("log", "lose", 1)
         result = publisher.publish("op", [self.edit(publisher, 21)], 5.0)
         self.assertEqual((result.word, self.weight()), (PublishOutcome.ACCEPTED, 21))
-        self.await_alike()
+        self.wait_until_consistent()
 
-    def test_a_late_append_ends_unknown_and_its_fate_can_be_found_out(self):
+    def test_late_append_ends_unknown_and_lands_later(self):
         publisher = self.publisher()
         self.fleet.inject_fault("log", "late", 4.0, 1.0)
         result = publisher.publish("op", [self.edit(publisher, 22)], 0.5)
         self.assertEqual(result.word, PublishOutcome.UNKNOWN)
         wait_until(lambda: self.weight() == 22, "the late change lands")
-        self.await_alike()
+        self.wait_until_consistent()
 
-    def test_in_an_outage_the_word_is_unknown_and_its_fate_is_found_later(self):
+    def test_in_an_outage_the_outcome_is_unknown_and_found_later(self):
         publisher = self.publisher()
         self.fleet.by_name["log"].freeze()
         result = publisher.publish("op", [self.edit(publisher, 23)], 0.5)
         self.fleet.by_name["log"].thaw()
         self.assertEqual(result.word, PublishOutcome.UNKNOWN)
-        # The bytes had left, so the log takes the append once it goes on.
+        # The request had been sent, so the log executes the append once it resumes.
         wait_until(lambda: self.weight() == 23, "the change lands")
         publisher.read()
         fate = publisher.configuration.result_by_id[result.change]
         self.assertIs(fate.outcome, Outcome.ACCEPTED)
-        self.await_alike()
+        self.wait_until_consistent()
 
-    def test_a_publisher_killed_after_its_append_leaves_the_change_whole(self):
+    def test_publisher_killed_after_its_append_leaves_a_complete_change(self):
         file = self.fleet.folder / "change.ini"
         file.write_text("[workspace:clinic-3]\nkey_digests =\nweight = 4\n")
         addresses = self.fleet.address_by_name
@@ -123,15 +127,15 @@
         child.kill()
         child.wait()
         self.fleet.clear_fault("log", "late")
-        self.await_alike()
+        self.wait_until_consistent()
 
     def has_landed(self, child: subprocess.Popen) -> bool:
         self.fleet.publisher.read()
         return self.fleet.publisher.configuration.get(Workspace, "clinic-3") is not None
 
-    def test_a_host_that_starts_in_an_outage_takes_the_newest_state_of_its_peers(self):
+    def test_host_that_starts_in_an_outage_adopts_the_newest_state_of_its_peers(self):
         self.fleet.publish(msgspec.structs.replace(self.present(), weight=31))
-        self.await_alike()
+        self.wait_until_consistent()
         process = self.fleet.by_name["host-3"]
         process.kill()
         self.fleet.inject_fault("log", "refuse")
@@ -139,21 +143,21 @@
         self.fleet.replace_host("host-3")
         self.assertEqual(self.digest("host-3"), self.digest("host-1"))
 
-    def test_alone_in_an_outage_a_host_is_not_ready(self):
+    def test_isolated_host_is_not_ready_in_an_outage(self):
         self.fleet.inject_fault("log", "refuse")
         self.addCleanup(self.fleet.clear_fault, "log", "refuse")
-        lonely = self.fleet.add_host("host-9", platform__host_list="127.0.0.1:1")
-        self.addCleanup(lambda: (lonely.kill(), self.fleet.by_name.pop("host-9")))
+        isolated = self.fleet.add_host("host-9", platform__host_list="127.0.0.1:1")
+        self.addCleanup(lambda: (isolated.kill(), self.fleet.by_name.pop("host-9")))
         self.addCleanup(self.fleet.row_by_name.pop, "host-9")
         status = f"{self.fleet.url('host-9', '/readyz')}"
-        wait_until(lambda: b"listens" in lonely.output.read_bytes(), "host-9 listens")
+        wait_until(lambda: b"listens" in isolated.output.read_bytes(), "host-9 listens")
         self.assertEqual(self.fleet.http.request("GET", status).status, 503)
 
     def present(self) -> Workspace:
         self.fleet.publisher.read()
         return self.fleet.publisher.configuration.get(Workspace, "clinic-1")
 
-    def test_past_retention_a_new_host_and_a_frozen_one_end_like_the_rest(self):
+    def test_past_retention_a_restarted_and_a_frozen_host_become_consistent(self):
         frozen = self.fleet.by_name["host-2"]
         frozen.freeze()
         self.addCleanup(frozen.thaw)
@@ -165,13 +169,13 @@
         frozen.thaw()
         self.fleet.by_name["host-3"].kill()
         self.fleet.replace_host("host-3")
-        self.await_alike()
+        self.wait_until_consistent()
 
-    def test_past_retention_all_hosts_lost_at_once_come_back_from_a_snapshot(self):
+    def test_past_retention_all_hosts_restarted_at_once_recover_from_a_snapshot(self):
         for number in range(RETENTION * 2):
             self.fleet.publish(Workspace(WorkspaceId(f"lost-{number}"), weight=2))
             time.sleep(0.05)
-        self.await_alike()
+        self.wait_until_consistent()
         wait_until(lambda: self.publisher().configuration.complete, "a snapshot covers the rest")
         names = self.fleet.host_names()
         for name in names:
@@ -180,10 +184,10 @@
             self.fleet.by_name[name].start()
         for name in names:
             self.fleet.wait_host(name)
-        self.await_alike()
+        self.wait_until_consistent()
         self.assertIsNotNone(self.present())
 
-    def test_no_host_ever_goes_back_while_changes_race_freezes_and_restarts(self):
+    def test_no_host_reverts_while_changes_are_published_and_a_host_is_frozen(self):
         positions: dict[str, list[int]] = {}
         stop = threading.Event()
 
@@ -206,7 +210,7 @@
         watcher.join()
         for seen in positions.values():
             self.assertEqual(seen, sorted(seen))
-        self.await_alike()
+        self.wait_until_consistent()
 
 
 if __name__ == "__main__":
--- a/libs/standins/ruddersaddle_standins/tests/test_daemon_outputs.py
+++ b/libs/standins/ruddersaddle_standins/tests/test_daemon_outputs.py
@@ -1,7 +1,7 @@
-"""The daemon serves on, and stops as planned, wherever its log goes.
+"""The daemon keeps serving and stops gracefully even if nobody reads its log output.
 
-It logs to standard error. With a plain handler the first line that does not fit into a pipe that
-nobody reads stops the whole process for good: no request goes on, no signal is noticed.
+It logs to standard error. A plain handler would block on the first line that does not fit into an
+unread pipe, which stalls the whole process: requests hang and signals are not handled.
 """
 
 import fcntl
@@ -15,14 +15,14 @@
 from ruddersaddle_standins.processes import wait_until
 
 PIPE_BYTES = 4096
-"""A small pipe, so that few requests fill it; by default one takes 64 KB."""
+"""A small pipe, so that few requests fill it; the default is 64 KB."""
 GENERATIONS = 60
-"""Each writes a line of over 200 bytes at the most talkative level: more than the pipe takes."""
-STOP_S = 10.0
+"""Each logs over 200 bytes at level DEBUG, together more than the pipe holds."""
+STOP_TIMEOUT_S = 10.0
 
 
 class DaemonOutputsTest(unittest.TestCase):
-    def test_reader_that_stops_holds_no_request_up(self):
+    def test_unread_log_output_delays_no_request(self):
         topology = Topology(hosts=1, engines=1, settings={"host.log_level": "DEBUG"})
         with Fleet(topology) as fleet:
             process = fleet.by_name["host-1"]
@@ -40,7 +40,7 @@
                 result = client.prompt(fleet.address_by_name["host-1"], "a prompt", 1)
                 self.assertEqual(result.status, 200)
             process.child.send_signal(signal.SIGTERM)
-            self.assertEqual(process.wait(STOP_S), 0)
+            self.assertEqual(process.wait(STOP_TIMEOUT_S), 0)
 
 
 if __name__ == "__main__":
--- a/libs/standins/ruddersaddle_standins/tests/test_kept_contexts.py
+++ b/libs/standins/ruddersaddle_standins/tests/test_kept_contexts.py
@@ -1,4 +1,4 @@
-"""Promise 1: no request reads a block that is freed, reused or only partly written."""
+"""No request uses a cached block that is freed, reused or only partly written."""
 
 import threading
 import unittest
@@ -23,16 +23,16 @@
         self.fleet = Fleet(Topology(hosts=2, engines=2, services=1, stores=1, speeds=speeds))
         self.fleet.start()
         self.addCleanup(self.fleet.stop)
-        self.ask_all("host-1")
+        self.prompt_all("host-1")
         wait_until(lambda: self.count("contexts_kept_blocks") >= len(TEXTS) * 8, "contexts kept")
         self.drop_caches()
 
-    def ask(self, text: str, host: str) -> PromptResult:
+    def prompt(self, text: str, host: str) -> PromptResult:
         return Client("clinic-1").prompt(self.fleet.address_by_name[host], text, TOKENS)
 
-    def ask_all(self, host: str) -> list[PromptResult]:
+    def prompt_all(self, host: str) -> list[PromptResult]:
         with ThreadPoolExecutor(len(TEXTS)) as pool:
-            results = list(pool.map(lambda text: self.ask(text, host), TEXTS))
+            results = list(pool.map(lambda text: self.prompt(text, host), TEXTS))
         for text, result in zip(TEXTS, results, strict=True):
             self.assertEqual(result.text, answer_text(text, VERSION, TOKENS))
             self.assertTrue(result.complete)
@@ -42,7 +42,7 @@
         statuses = [self.fleet.status(host) for host in self.fleet.host_names()]
         return sum(s.counts[name] for s in statuses if not isinstance(s, Failure))
 
-    def mismatched(self) -> int:
+    def count_mismatched(self) -> int:
         statuses = [self.fleet.status(host) for host in self.fleet.host_names()]
         return sum(link.blocks_mismatched for s in statuses for link in s.links)
 
@@ -50,69 +50,69 @@
         for name in ("engine-1", "engine-2"):
             self.fleet.http.request("POST", self.fleet.url(name, "/drop"))
         for host in self.fleet.host_names():
-            wait_until(lambda name=host: self.knows_nothing(name), "cache events")
+            wait_until(lambda name=host: self.has_no_cached_blocks(name), "cache events")
 
-    def knows_nothing(self, host: str) -> bool:
+    def has_no_cached_blocks(self, host: str) -> bool:
         return sum(row.cached_blocks for row in self.fleet.status(host).upstreams) == 0
 
-    def used_wrongly(self) -> int:
+    def count_invalid_imports(self) -> int:
         records = [self.fleet.fetch(n, "/record", EngineRecord) for n in ("engine-1", "engine-2")]
         return sum(record.imported_wrong for record in records)
 
-    def imported(self) -> int:
+    def count_imports(self) -> int:
         records = [self.fleet.fetch(n, "/record", EngineRecord) for n in ("engine-1", "engine-2")]
         return sum(record.imported_blocks for record in records)
 
-    def test_torn_reused_and_changed_blocks_are_misses_and_are_never_used(self):
+    def test_torn_reused_and_altered_blocks_are_misses_and_are_never_used(self):
         for kind in ("torn", "reused", "flip"):
             self.fleet.inject_fault("store-1", kind, 2)
-            self.ask_all("host-2")
+            self.prompt_all("host-2")
             self.drop_caches()
-        self.assertEqual(self.used_wrongly(), 0)
-        spoiled = self.fleet.fetch("store-1", "/record", StoreRecord).spoiled_blocks
-        self.assertGreaterEqual(spoiled, 4)
-        # A read is given up at its first wrong block, so that it may hold more than one.
-        self.assertGreater(self.mismatched(), 0)
-        self.assertLessEqual(self.mismatched(), spoiled)
-        self.assertGreater(self.imported(), 0)
-
-    def test_readers_beside_writers_and_a_store_host_that_frees_all(self):
+        self.assertEqual(self.count_invalid_imports(), 0)
+        corrupted = self.fleet.fetch("store-1", "/record", StoreRecord).spoiled_blocks
+        self.assertGreaterEqual(corrupted, 4)
+        # A read stops at its first invalid block, so further ones in it are not counted.
+        self.assertGreater(self.count_mismatched(), 0)
+        self.assertLessEqual(self.count_mismatched(), corrupted)
+        self.assertGreater(self.count_imports(), 0)
+
+    def test_concurrent_readers_writers_and_deletions_use_no_invalid_block(self):
         stop = threading.Event()
 
-        def free() -> None:
+        def delete_blocks() -> None:
             while not stop.is_set():
                 self.fleet.http.request("DELETE", self.fleet.url("store-1", "/v1/blocks"))
                 stop.wait(0.05)
 
-        freer = threading.Thread(target=free)
-        freer.start()
+        deleter = threading.Thread(target=delete_blocks)
+        deleter.start()
         try:
             for _ in range(4):
-                self.ask_all("host-1")
+                self.prompt_all("host-1")
                 self.drop_caches()
-                self.ask_all("host-2")
+                self.prompt_all("host-2")
                 self.drop_caches()
         finally:
             stop.set()
-            freer.join()
-        self.assertEqual(self.used_wrongly(), 0)
+            deleter.join()
+        self.assertEqual(self.count_invalid_imports(), 0)
 
-    def test_a_store_host_that_dies_in_a_transfer_costs_no_answer(self):
+    def test_store_host_killed_during_a_transfer_fails_no_request(self):
         self.fleet.inject_fault("store-1", "slow", 40.0)
         killer = threading.Timer(0.3, self.fleet.by_name["store-1"].kill)
         killer.start()
-        self.ask_all("host-2")
+        self.prompt_all("host-2")
         killer.join()
-        self.assertEqual(self.used_wrongly(), 0)
+        self.assertEqual(self.count_invalid_imports(), 0)
         self.assertGreater(self.count("contexts_fetch_failures"), 0)
 
-    def test_a_full_store_host_costs_no_answer(self):
+    def test_full_store_host_fails_no_request(self):
         self.fleet.inject_fault("store-1", "full")
         self.fleet.http.request("DELETE", self.fleet.url("store-1", "/v1/blocks"))
-        self.ask_all("host-2")
+        self.prompt_all("host-2")
         wait_until(lambda: self.count("contexts_keep_failures") > 0, "keeping is refused")
-        self.ask_all("host-1")
-        self.assertEqual(self.used_wrongly(), 0)
+        self.prompt_all("host-1")
+        self.assertEqual(self.count_invalid_imports(), 0)
 
 
 if __name__ == "__main__":
--- a/libs/standins/ruddersaddle_standins/tests/test_orders.py
+++ b/libs/standins/ruddersaddle_standins/tests/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders to upstreams: a lease holder frozen past its lease, let go while a successor works."""
+"""A lease holder is frozen past its lease and resumes while a successor gives orders."""
 
 import unittest
 
@@ -15,9 +15,9 @@
 
 class OrderTest(unittest.TestCase):
     def swap_with_frozen_holder(self, checks_fences: bool) -> tuple[int, int]:
-        """Publish v2, freeze whoever gives the first order, let it go after v3 is in force.
+        """Publish v2, freeze the lease holder, and resume it after its successor has loaded v3.
 
-        Return how many orders the engines refused and how many the holders withheld.
+        Return how many orders the engines refused and how many the hosts withheld.
         """
         speeds = {"weight_s": LOAD_S, "checks_fences": str(checks_fences).lower()}
         topology = Topology(
--- a/libs/standins/ruddersaddle_standins/tests/test_planned_stops.py
+++ b/libs/standins/ruddersaddle_standins/tests/test_planned_stops.py
@@ -1,4 +1,4 @@
-"""Promise 8: a planned stop cuts no request; every host is replaced in turn under load."""
+"""A planned stop interrupts no request, even if all hosts are replaced in turn under load."""
 
 import threading
 import time
@@ -18,7 +18,7 @@
 
 
 class PlannedStopTest(unittest.TestCase):
-    def test_every_host_is_replaced_under_load_and_no_request_is_cut(self):
+    def test_replacing_every_host_under_load_interrupts_no_request(self):
         topology = Topology(hosts=3, engines=2, settings={"requests.stop_lag_s": STOP_LAG_S})
         with Fleet(topology) as fleet:
             balancer = Balancer(fleet)
@@ -33,7 +33,7 @@
             self.replace_all(fleet, balancer, stop, callers)
             self.check(streams, calls, fleet)
 
-    def test_a_stop_under_short_calls_refuses_none(self):
+    def test_stop_under_short_calls_refuses_none(self):
         topology = Topology(hosts=2, engines=1, settings={"requests.stop_lag_s": STOP_LAG_S})
         with Fleet(topology) as fleet:
             balancer = Balancer(fleet)
@@ -47,7 +47,7 @@
             self.assertEqual(set(statuses), {200})
 
     def replace_all(self, fleet, balancer, stop, callers):
-        """Replace every host in turn by a planned stop while the callers go on."""
+        """Stop and restart every host in turn while the callers keep sending."""
         for caller in callers:
             caller.start()
         for name in fleet.host_names():
--- a/libs/standins/ruddersaddle_standins/tests/test_port_blocks.py
+++ b/libs/standins/ruddersaddle_standins/tests/test_port_blocks.py
@@ -1,4 +1,4 @@
-"""Tests that ports of tests beside one another, and of connections, stay apart."""
+"""Ports of concurrent test processes and of outgoing connections don't conflict."""
 
 import socket
 import subprocess
@@ -29,12 +29,12 @@
             child.communicate("\n")
         self.assertEqual(len(set(given)), 9, given)
 
-    def test_ports_are_given_once_and_below_those_of_connections(self) -> None:
+    def test_ports_are_unique_and_below_the_ephemeral_range(self) -> None:
         ports = free_ports(2 * BLOCK_SIZE)
         self.assertEqual(len(set(ports)), 2 * BLOCK_SIZE)
         self.assertLess(max(ports), END_PORT)
 
-    def test_port_that_is_listened_on_is_passed_over(self) -> None:
+    def test_port_in_use_is_skipped(self) -> None:
         before = free_ports(1)[0]
         with socket.create_server((LOOPBACK, before + 1)):
             self.assertNotIn(before + 1, free_ports(3))
--- a/libs/standins/ruddersaddle_standins/tests/test_service_calls.py
+++ b/libs/standins/ruddersaddle_standins/tests/test_service_calls.py
@@ -1,4 +1,4 @@
-"""Promise 5 at the connection: what proves that a call did not run, and what doesn't."""
+"""Only a failed connection proves that a call did not run; a truncated response does not."""
 
 import unittest
 
@@ -17,18 +17,18 @@
         self.assertIsInstance(answer, Failure)
         return answer
 
-    def test_only_a_connection_that_was_never_made_is_not_run(self):
+    def test_only_a_failed_connection_is_not_run(self):
         with RawServer(b"") as gone:
             address = gone.address
         self.assertIs(self.call(address).ran, Ran.NOT_RUN)
 
-    def test_an_answer_that_was_cut_anywhere_is_unknown_and_never_an_answer(self):
-        # The zero that begins a chunked answer's end mark comes after the whole body.
-        for whole, last in ((SIZED, len(SIZED)), (CHUNKED, CHUNKED.rindex(b"0"))):
+    def test_response_truncated_anywhere_is_unknown(self):
+        # A chunked response is complete once the "0" that begins its last chunk has arrived.
+        for response, last in ((SIZED, len(SIZED)), (CHUNKED, CHUNKED.rindex(b"0"))):
             for end in range(last):
-                with self.subTest(cut=whole[:end]), RawServer(whole[:end]) as server:
+                with self.subTest(cut=response[:end]), RawServer(response[:end]) as server:
                     self.assertIs(self.call(server.address).ran, Ran.UNKNOWN)
-            with RawServer(whole) as server:
+            with RawServer(response) as server:
                 answer = ServiceClient(server.address, 1.0, 2.0).call("POST", "/x", {}, b"body")
                 self.assertEqual(answer.body, b"whole")
 
--- a/libs/standins/ruddersaddle_standins/tests/test_sessions.py
+++ b/libs/standins/ruddersaddle_standins/tests/test_sessions.py
@@ -1,4 +1,4 @@
-"""Golden files of whole sessions; `GOLDEN_WRITE=1` writes them anew for reading over."""
+"""Compares complete sessions with golden files; `GOLDEN_WRITE=1` rewrites the files for review."""
 
 import os
 import unittest
@@ -117,7 +117,7 @@
             Exchange("GET", "/operator/nothing", workspace=""),
         )
 
-    def test_slow_and_half_closed_senders_get_an_answer_and_cost_nobody(self):
+    def test_slow_and_half_closed_senders_get_an_error_and_affect_no_other_caller(self):
         slow = Exchange("POST", "/v1/completions", "{", length=100).to_bytes(self.address)
         answer = exchange_raw(self.address, slow)
         self.assertIn(b"did not arrive within 1 s", answer)
@@ -128,7 +128,7 @@
         result = Client("clinic-2").prompt(self.address, "still here", 2)
         self.assertTrue(result.complete)
 
-    def test_an_injected_header_reaches_no_service_and_no_other_answer(self):
+    def test_injected_header_reaches_no_service(self):
         value = "x\r\n Workspace: clinic-2\r\nInjected: yes"
         headers = (("Note", value),)
         exchange_raw(
--- a/libs/standins/ruddersaddle_standins/tests/test_suites.py
+++ b/libs/standins/ruddersaddle_standins/tests/test_suites.py
@@ -1,4 +1,4 @@
-"""Tests of the runner of all tests: what it counts as failed, and by which name."""
+"""The test runner reports failed subtests under the name of their test."""
 
 import io
 import unittest
@@ -7,7 +7,7 @@
 
 
 class Failing(unittest.TestCase):
-    """Not collected: its check is no test by its name."""
+    """Not collected, as the name of its method does not begin with `test`."""
 
     def check(self) -> None:
         for number in range(3):
@@ -16,7 +16,7 @@
 
 
 class NamesTest(unittest.TestCase):
-    def test_subtests_are_named_by_their_test(self) -> None:
+    def test_failed_subtests_are_named_by_their_test(self) -> None:
         case = Failing("check")
         result = unittest.TextTestRunner(stream=io.StringIO()).run(case)
         names = {name_test(test) for test, _ in result.failures}
--- a/libs/standins/ruddersaddle_standins/tests/test_whole_answers.py
+++ b/libs/standins/ruddersaddle_standins/tests/test_whole_answers.py
@@ -1,4 +1,4 @@
-"""Promises 2, 3 and 4: whole answers, each to its own caller, of one workspace and one version."""
+"""Each caller gets the complete response to its own prompt, of one workspace and one version."""
 
 import threading
 import time
@@ -17,11 +17,11 @@
 TOKENS = 40
 LONG_TOKENS = 200
 DIES_AT = 150
-"""By this token of a long stream most engines have swapped their weights."""
+"""By this token of a long stream, most engines have swapped their weights."""
 LONG = "the same long prefix for everybody " * 40
 
 
-class WholeAnswerTest(unittest.TestCase):
+class CompleteResponseTest(unittest.TestCase):
     @classmethod
     def setUpClass(cls):
         cls.fleet = Fleet(Topology(hosts=2, engines=3, services=1))
@@ -65,12 +65,12 @@
             self.assert_complete(result, text)
         self.assertGreater(self.resumed(), before)
 
-    def test_a_stream_cut_by_its_engine_goes_on_without_gap_or_repeat(self):
+    def test_stream_cut_by_its_engine_resumes_without_gap_or_repetition(self):
         before = self.resumed()
         for name in self.engines():
             self.fleet.inject_fault(name, "die_at", 13)
         texts = [f"{LONG} cut {number}" for number in range(4)]
-        timer = threading.Timer(1.0, self.heal)
+        timer = threading.Timer(1.0, self.clear_die_at)
         timer.start()
         with ThreadPoolExecutor(4) as pool:
             results = list(pool.map(self.prompt, texts))
@@ -83,11 +83,11 @@
                 self.assertTrue(answer_text(text, VERSION, TOKENS).startswith(result.text))
         self.assertGreater(self.resumed(), before)
 
-    def heal(self) -> None:
+    def clear_die_at(self) -> None:
         for name in self.engines():
             self.fleet.clear_fault(name, "die_at")
 
-    def test_an_engine_killed_under_streams_loses_none(self):
+    def test_killing_an_engine_loses_none_of_its_streams(self):
         texts = [f"{LONG} killed {number}" for number in range(8)]
         with ThreadPoolExecutor(8) as pool:
             results = pool.map(self.prompt, texts)
@@ -98,12 +98,12 @@
             self.assert_complete(result, text)
 
     def busy_engine(self) -> str:
-        """Return the engine with most of the first host's streams, or nothing if there is none."""
+        """Return the engine with most streams of host-1, empty if none has any."""
         rows = [row for row in self.fleet.status("host-1").upstreams if row.pool == "engines"]
         busiest = max(rows, key=lambda row: row.in_flight)
         return busiest.upstream if busiest.in_flight else ""
 
-    def test_a_whole_reply_without_streaming_is_the_same_text(self):
+    def test_response_without_streaming_has_the_same_text(self):
         text = f"{LONG} at once"
         body = {"model": MODEL, "prompt": text, "max_tokens": TOKENS}
         client = Client("clinic-1")
@@ -116,7 +116,7 @@
         choice = msgspec.json.decode(reply.data)["choices"][0]
         self.assertEqual(choice["text"], answer_text(text, VERSION, TOKENS))
 
-    def test_the_same_text_of_another_workspace_hits_nothing(self):
+    def test_same_prompt_of_another_workspace_has_no_cache_hit(self):
         text = f"isolated {LONG}"
         first = self.prompt(text, workspace="clinic-1")
         own = self.prompt(text, workspace="clinic-1", host="host-2")
@@ -125,7 +125,7 @@
         self.assertGreater(own.usage.cached_tokens, 0)
         self.assertEqual(other.usage.cached_tokens, 0)
 
-    def test_a_missing_or_forged_key_gets_nothing(self):
+    def test_missing_or_forged_api_key_is_unauthorized(self):
         for header in ({}, {"Authorization": "Bearer key-of-clinic-9"}, {"Authorization": "x"}):
             for path in ("/v1/models", "/booking/read"):
                 url = self.fleet.url("host-1", path)
@@ -133,13 +133,13 @@
                 self.assertEqual(reply.status, 401)
                 self.assertNotIn(b"clinic", reply.data)
 
-    def test_a_workspace_header_of_a_caller_is_not_believed(self):
+    def test_workspace_header_of_a_caller_is_ignored(self):
         address = self.fleet.address_by_name["host-1"]
         Client("clinic-1").call(address, "/booking/read", "forged", workspace="clinic-2")
         runs = [run for run in self.fleet.runs() if run.body == "forged"]
         self.assertEqual([run.workspace for run in runs], ["clinic-1"])
 
-    def test_a_swap_of_weights_under_load_mixes_no_versions(self):
+    def test_weight_swap_under_load_mixes_no_versions(self):
         stop = threading.Event()
         results: list[tuple[str, PromptResult]] = []
         threads = [
@@ -148,13 +148,13 @@
         for thread in threads:
             thread.start()
         self.fleet.publish(Model(MODEL, "v2"))
-        wait_until(self.all_on_second, "every engine runs v2")
+        wait_until(self.all_on_v2, "every engine runs v2")
         self.fleet.by_name["engine-2"].kill()
         time.sleep(1.0)
         stop.set()
         for thread in threads:
             thread.join()
-        self.addCleanup(self.swap_back)
+        self.addCleanup(self.restore_engine_and_v1)
         versions = set()
         for text, result in results:
             self.assertTrue(result.complete, result)
@@ -165,18 +165,18 @@
         most = self.fleet.fetch("weights", "/most", int)
         self.assertLessEqual(most, 2)
 
-    def test_a_stream_that_dies_in_a_swap_goes_on_with_its_own_version_or_ends_clearly(self):
+    def test_stream_that_fails_in_a_weight_swap_resumes_with_its_version_or_ends_in_error(self):
         texts = [f"{LONG} dies {number}" for number in range(4)]
         client = Client("clinic-1")
         address = self.fleet.address_by_name["host-1"]
         with ThreadPoolExecutor(4) as pool:
-            told = [pool.submit(client.prompt, address, text, LONG_TOKENS) for text in texts]
+            requests = [pool.submit(client.prompt, address, text, LONG_TOKENS) for text in texts]
             wait_until(self.busy_engine, "streams run on an engine")
             self.fleet.inject_fault(self.busy_engine(), "die_at", DIES_AT)
             self.fleet.publish(Model(MODEL, "v2"))
-            self.addCleanup(self.swap_back_all)
-            results = [each.result() for each in told]
-        self.heal()
+            self.addCleanup(self.restore_v1)
+            results = [each.result() for each in requests]
+        self.clear_die_at()
         for text, result in zip(texts, results, strict=True):
             own = answer_text(text, VERSION, LONG_TOKENS)
             self.assertTrue(own.startswith(result.text), "tokens of another version")
@@ -188,47 +188,47 @@
             text = f"{LONG} swap {number}"
             results.append((text, self.prompt(text, host=f"host-{number % 2 + 1}")))
 
-    def all_on_second(self) -> bool:
+    def all_on_v2(self) -> bool:
         for name in self.fleet.host_names():
             rows = self.fleet.status(name).upstreams
             if any(row.version != "v2" for row in rows if row.pool == "engines"):
                 return False
         return True
 
-    def swap_back(self) -> None:
+    def restore_engine_and_v1(self) -> None:
         self.fleet.by_name["engine-2"].start()
         self.fleet.wait_healthy("engine-2")
         self.fleet.publish(Model(MODEL, VERSION))
         for name in self.fleet.host_names():
-            wait_until(lambda host=name: self.is_first(host), "every engine runs v1 again")
+            wait_until(lambda host=name: self.all_on_v1(host), "every engine runs v1 again")
 
-    def is_first(self, host: str) -> bool:
+    def all_on_v1(self, host: str) -> bool:
         rows = [r for r in self.fleet.status(host).upstreams if r.pool == "engines"]
         return all(row.version == VERSION for row in rows)
 
-    def test_a_new_version_hits_nothing_of_the_old_one(self):
+    def test_new_version_has_no_cache_hit_of_the_old_one(self):
         text = f"{LONG} versions"
         self.prompt(text)
         self.assertGreater(self.prompt(text).usage.cached_tokens, 0)
         self.fleet.publish(Model(MODEL, "v2"))
-        self.addCleanup(self.swap_back_all)
-        wait_until(self.all_on_second, "every engine runs v2")
+        self.addCleanup(self.restore_v1)
+        wait_until(self.all_on_v2, "every engine runs v2")
         first = self.prompt(text)
         self.assert_complete(first, text, "v2")
         self.assertEqual(first.usage.cached_tokens, 0)
 
-    def swap_back_all(self) -> None:
+    def restore_v1(self) -> None:
         self.fleet.publish(Model(MODEL, VERSION))
         for name in self.fleet.host_names():
-            wait_until(lambda host=name: self.is_first(host), "every engine runs v1 again")
+            wait_until(lambda host=name: self.all_on_v1(host), "every engine runs v1 again")
 
 
 class LeavingTest(unittest.TestCase):
-    """Promise 7: a leaving upstream gets no new work after a few seconds."""
+    """A leaving upstream gets no new work after a few seconds."""
 
     LIMIT_S = 3.0
 
-    def test_a_leaving_engine_gets_no_new_work_after_the_list_shows_it(self):
+    def test_leaving_engine_gets_no_new_work_once_it_is_listed_as_leaving(self):
         with Fleet(Topology(hosts=2, engines=2)) as fleet:
             stop = threading.Event()
             results: list[PromptResult] = []
