--- a/libs/standins/ruddersaddle_standins/tests/test_whole_answers.py
+++ b/libs/standins/ruddersaddle_standins/tests/test_whole_answers.py
@@ -33,7 +33,7 @@
             if not self.fleet.by_name[name].is_running:
                 self.fleet.by_name[name].start()
             self.fleet.wait_healthy(name)
-        self.fleet.wait_whole()
+        self.fleet.wait_recovered()
 
     def engines(self) -> list[str]:
         return [name for name in self.fleet.by_name if name.startswith("engine-")]
@@ -42,10 +42,10 @@
         address = self.fleet.address_by_name[host]
         return Client(workspace).prompt(address, text, TOKENS, **more)
 
-    def assert_whole(self, result: PromptResult, text: str, version: str = VERSION) -> None:
+    def assert_complete(self, result: PromptResult, text: str, version: str = VERSION) -> None:
         self.assertIsNone(result.error)
-        self.assertTrue(result.whole)
-        self.assertEqual(result.crossed, 0)
+        self.assertTrue(result.complete)
+        self.assertEqual(result.misrouted_events, 0)
         self.assertEqual(result.text, answer_text(text, version, TOKENS))
 
     def resumed(self) -> int:
@@ -55,20 +55,20 @@
     def test_events_of_another_request_reach_no_caller(self):
         before = self.resumed()
         for name in self.engines():
-            self.fleet.fault(name, "cross", 2)
+            self.fleet.inject_fault(name, "cross", 2)
         texts = [f"{LONG} {number}" for number in range(6)]
         with ThreadPoolExecutor(6) as pool:
             results = list(pool.map(self.prompt, texts))
         for name in self.engines():
-            self.fleet.clear(name, "cross")
+            self.fleet.clear_fault(name, "cross")
         for text, result in zip(texts, results, strict=True):
-            self.assert_whole(result, text)
+            self.assert_complete(result, text)
         self.assertGreater(self.resumed(), before)
 
     def test_a_stream_cut_by_its_engine_goes_on_without_gap_or_repeat(self):
         before = self.resumed()
         for name in self.engines():
-            self.fleet.fault(name, "die_at", 13)
+            self.fleet.inject_fault(name, "die_at", 13)
         texts = [f"{LONG} cut {number}" for number in range(4)]
         timer = threading.Timer(1.0, self.heal)
         timer.start()
@@ -77,15 +77,15 @@
         timer.join()
         for text, result in zip(texts, results, strict=True):
             if result.error is None:
-                self.assert_whole(result, text)
+                self.assert_complete(result, text)
             else:
-                self.assertFalse(result.whole)
+                self.assertFalse(result.complete)
                 self.assertTrue(answer_text(text, VERSION, TOKENS).startswith(result.text))
         self.assertGreater(self.resumed(), before)
 
     def heal(self) -> None:
         for name in self.engines():
-            self.fleet.clear(name, "die_at")
+            self.fleet.clear_fault(name, "die_at")
 
     def test_an_engine_killed_under_streams_loses_none(self):
         texts = [f"{LONG} killed {number}" for number in range(8)]
@@ -95,7 +95,7 @@
             self.fleet.by_name[self.busy_engine()].kill()
             results = list(results)
         for text, result in zip(texts, results, strict=True):
-            self.assert_whole(result, text)
+            self.assert_complete(result, text)
 
     def busy_engine(self) -> str:
         """Return the engine with most of the first host's streams, or nothing if there is none."""
@@ -157,12 +157,12 @@
         self.addCleanup(self.swap_back)
         versions = set()
         for text, result in results:
-            self.assertTrue(result.whole, result)
+            self.assertTrue(result.complete, result)
             by_text = {answer_text(text, v, TOKENS): v for v in (VERSION, "v2")}
             self.assertIn(result.text, by_text)
             versions.add(by_text[result.text])
         self.assertEqual(versions, {VERSION, "v2"})
-        most = self.fleet.ask("weights", "/most", int)
+        most = self.fleet.fetch("weights", "/most", int)
         self.assertLessEqual(most, 2)
 
     def test_a_stream_that_dies_in_a_swap_goes_on_with_its_own_version_or_ends_clearly(self):
@@ -172,7 +172,7 @@
         with ThreadPoolExecutor(4) as pool:
             told = [pool.submit(client.prompt, address, text, LONG_TOKENS) for text in texts]
             wait_until(self.busy_engine, "streams run on an engine")
-            self.fleet.fault(self.busy_engine(), "die_at", DIES_AT)
+            self.fleet.inject_fault(self.busy_engine(), "die_at", DIES_AT)
             self.fleet.publish(Model(MODEL, "v2"))
             self.addCleanup(self.swap_back_all)
             results = [each.result() for each in told]
@@ -180,8 +180,8 @@
         for text, result in zip(texts, results, strict=True):
             own = answer_text(text, VERSION, LONG_TOKENS)
             self.assertTrue(own.startswith(result.text), "tokens of another version")
-            self.assertEqual(result.whole, result.text == own)
-            self.assertEqual(result.whole, result.error is None)
+            self.assertEqual(result.complete, result.text == own)
+            self.assertEqual(result.complete, result.error is None)
 
     def load(self, stop, results, number):
         while not stop.is_set():
@@ -214,7 +214,7 @@
         self.addCleanup(self.swap_back_all)
         wait_until(self.all_on_second, "every engine runs v2")
         first = self.prompt(text)
-        self.assert_whole(first, text, "v2")
+        self.assert_complete(first, text, "v2")
         self.assertEqual(first.usage.cached_tokens, 0)
 
     def swap_back_all(self) -> None:
@@ -245,9 +245,9 @@
             stop.set()
             for thread in threads:
                 thread.join()
-            record = fleet.ask("engine-1", "/record", EngineRecord)
+            record = fleet.fetch("engine-1", "/record", EngineRecord)
             self.assertLess(record.last_started - marked, self.LIMIT_S)
-            self.assertTrue(all(result.whole for result in results))
+            self.assertTrue(all(result.complete for result in results))
 
     def load(self, fleet, stop, results, number):
         client = Client("clinic-1")
@@ -256,7 +256,7 @@
             results.append(client.prompt(address, f"{number} {len(results)} {LONG}", 8))
 
     def requests(self, fleet) -> int:
-        return fleet.ask("engine-1", "/record", EngineRecord).requests
+        return fleet.fetch("engine-1", "/record", EngineRecord).requests
 
 
 if __name__ == "__main__":
