--- a/libs/serving/ruddersaddle_serving/routes.py
+++ b/libs/serving/ruddersaddle_serving/routes.py
@@ -87,7 +87,7 @@
 
 
 class Workspace(msgspec.Struct, frozen=True):
-    """A customer; `dedicated` workspaces share no cached parts with others."""
+    """A tenant; `dedicated` workspaces share no cached parts with others."""
 
     id: WorkspaceId
     priority: int | None = None
