--- a/libs/base/ruddersaddle_base/codecs.py
+++ b/libs/base/ruddersaddle_base/codecs.py
@@ -1,4 +1,4 @@
-"""Encoders and decoders of typed messages, on `msgspec`."""
+"""Encoding and decoding of typed messages with `msgspec`."""
 
 from typing import TypeVar
 
@@ -14,25 +14,25 @@
     return msgspec.json.encode(value)
 
 
-def encode_text(value: object) -> str:
+def encode_json_text(value: object) -> str:
     """Return `value` as JSON text."""
     return msgspec.json.encode(value).decode()
 
 
 def decode_json(data: bytes | str, kind: type[T], step: Step, peer: str) -> T | Failure:
-    """Return JSON `data` as `kind`, or a failure that names the field that is wrong."""
+    """Return JSON `data` as `kind`, or a failure that names the invalid field."""
     try:
         return msgspec.json.decode(data, type=kind)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
         return Failure(Code.BAD_REQUEST, step, peer, str(error))
 
 
-def encode_packed(value: object) -> bytes:
-    """Return `value` as MessagePack, for messages between our own processes."""
+def encode_msgpack(value: object) -> bytes:
+    """Return `value` as MessagePack, for messages between hosts."""
     return msgspec.msgpack.encode(value)
 
 
-def decode_packed(data: bytes, kind: type[T], step: Step, peer: str) -> T | Failure:
+def decode_msgpack(data: bytes, kind: type[T], step: Step, peer: str) -> T | Failure:
     """Return MessagePack `data` as `kind`, or a failure."""
     try:
         return msgspec.msgpack.decode(data, type=kind)
@@ -40,9 +40,10 @@
         return Failure(Code.CORRUPT, step, peer, str(error))
 
 
-def is_whole(text: str) -> bool:
-    """Return whether text is a whole number in plain digits, which `int` takes.
+def is_decimal_integer(text: str) -> bool:
+    """Return whether text consists of ASCII decimal digits, which `int` accepts.
 
-    Of superscript digits, which fit into a header, `isdigit` says yes and `int` raises.
+    `isdigit` alone also accepts superscript digits, which may occur in a header and which `int`
+    rejects.
     """
     return text.isascii() and text.isdigit()
--- a/libs/daemon/ruddersaddle/bodies.py
+++ b/libs/daemon/ruddersaddle/bodies.py
@@ -1,21 +1,21 @@
-"""Reading a request's body: bounded in size and time, so that a slow sender costs only itself."""
+"""Reading a request's body with limits on size and time, so that a slow sender delays no other."""
 
 from typing import Any
 
 import eventlet
-from ruddersaddle_base.codecs import is_whole
+from ruddersaddle_base.codecs import is_decimal_integer
 from ruddersaddle_base.failures import Code, Failure, Step
 
 from ruddersaddle.callers import CALLER
 
-PART_BYTES = 65536
+READ_BYTES = 65536
 
 
 def read_body(environ: dict[str, Any], bytes_max: int, timeout_s: float) -> bytes | Failure:
-    """Return the whole body, or a failure for one too large, too slow or cut short."""
+    """Return the complete body, or a failure if it is too large, too slow or truncated."""
     length = environ.get("CONTENT_LENGTH") or ""
     chunked = "chunked" in environ.get("HTTP_TRANSFER_ENCODING", "").lower()
-    if length and not is_whole(length):
+    if length and not is_decimal_integer(length):
         return Failure(Code.BAD_REQUEST, Step.PARSE, CALLER, "Content-Length: expected a number")
     if not length and not chunked:
         return b""
@@ -42,7 +42,7 @@
     parts = []
     missing = wanted
     while missing > 0:
-        part = source.read(min(PART_BYTES, missing))
+        part = source.read(min(READ_BYTES, missing))
         if not part:
             break
         parts.append(part)
--- a/libs/daemon/ruddersaddle/daemons.py
+++ b/libs/daemon/ruddersaddle/daemons.py
@@ -1,4 +1,4 @@
-"""The daemon of one entry host: its parts, how they start, and its planned stop."""
+"""The daemon of one entry host: its components, startup, and planned stop."""
 
 import logging
 import random
@@ -23,12 +23,12 @@
 from ruddersaddle_state.records import Stream
 from ruddersaddle_upstreams.host_lists import HostList
 
-from ruddersaddle.answers import KeptAnswers
-from ruddersaddle.contexts import KeptContexts
-from ruddersaddle.gateways import Gateway, HostView
+from ruddersaddle.answers import AnswerCache
+from ruddersaddle.contexts import ContextCache
+from ruddersaddle.gateways import Gateway, HostControl
 from ruddersaddle.generations import Generator
 from ruddersaddle.keyed_calls import KeyedCalls
-from ruddersaddle.messages import AskConfiguration, ConfigurationMessage, Message
+from ruddersaddle.messages import ConfigurationReply, ConfigurationRequest, Message
 from ruddersaddle.orders import OrderTask
 from ruddersaddle.pools import Pools
 from ruddersaddle.prefetches import Prefetcher
@@ -36,22 +36,22 @@
 from ruddersaddle.service_calls import ServiceCaller
 from ruddersaddle.service_routes import ServiceRoutes
 from ruddersaddle.snapshots import SnapshotTask
-from ruddersaddle.tickets import TicketOffice
+from ruddersaddle.tickets import TicketIssuer
 from ruddersaddle.traces import Recorder
 
 logger = logging.getLogger(__name__)
 
-UPDATE_S = 0.25
-"""Pause between looks at new configuration and hosts, in seconds."""
-STOP_STEP_S = 0.05
-PEER_ASK_S = 1.0
-PEERS_ASKED = 3
-BACKLOG = 1024
+UPDATE_INTERVAL_S = 0.25
+"""Interval between checks for a new configuration or host list."""
+STOP_POLL_S = 0.05
+PEER_TIMEOUT_S = 1.0
+PEERS_ASKED_MAX = 3
+LISTEN_BACKLOG = 1024
 TICKET_MEMORY_FACTOR = 4
 
 
 class HostPhase(Enum):
-    """Where a host stands in its life."""
+    """Lifecycle phase of a host."""
 
     STARTING = "starting"
     READY = "ready"
@@ -66,7 +66,7 @@
         self.incarnation = incarnation
         self.stopping = False
         self.updated = False
-        self._seen = (START, -1)
+        self._applied_versions = (START, -1)
         self.histograms = Histograms()
         self.configuration = Configuration()
         self._build_log()
@@ -78,7 +78,7 @@
 
     @classmethod
     def from_settings(cls, settings: Settings) -> "Daemon":
-        """Return a daemon that is not started yet, as a new incarnation of its host."""
+        """Return a daemon, not started, as a new incarnation of its host."""
         return cls(settings, new_incarnation(HostId(settings.text("host.id"))))
 
     def _build_log(self) -> None:
@@ -90,9 +90,9 @@
         self.configuration_follower = Follower(client, Stream.CONFIGURATION, self.configuration)
         self.claims_follower = Follower(client, Stream.CLAIMS, claims)
         self.leases_follower = Follower(client, Stream.LEASES, leases)
-        gathers = settings.flag("claims.gather")
+        batching = settings.flag("claims.gather")
         self.appender_by_stream = {
-            stream: Appender(client, stream, gathers or stream is not Stream.CLAIMS)
+            stream: Appender(client, stream, batching or stream is not Stream.CLAIMS)
             for stream in Stream
         }
 
@@ -102,27 +102,29 @@
         timeout_s = settings.number("platform.timeout_s")
         self.hosts = HostList(settings.text("platform.host_list"), poll_s, timeout_s)
         self.pools = Pools(settings, self.hosts)
-        self.contexts = KeptContexts(settings)
+        self.contexts = ContextCache(settings)
         self.generator = Generator(self.contexts, self.configuration, self.histograms)
 
     def _build_services(self) -> None:
         settings = self.settings
         memory_s = settings.number("claims.memory_s")
         ticket_s = settings.number("claims.ticket_s")
-        bytes_max = settings.whole("claims.answers_max")
+        bytes_max = settings.integer("claims.answers_max")
         keyed = KeyedCalls(
             self.incarnation,
             self.claims_follower,
             self.appender_by_stream[Stream.CLAIMS],
-            KeptAnswers(bytes_max, memory_s),
+            AnswerCache(bytes_max, memory_s),
             settings.number("claims.wait_s"),
         )
-        ticket_answers = KeptAnswers(bytes_max, ticket_s * TICKET_MEMORY_FACTOR)
-        tickets = TicketOffice(self.incarnation, ticket_s, ticket_answers)
+        ticket_answers = AnswerCache(bytes_max, ticket_s * TICKET_MEMORY_FACTOR)
+        tickets = TicketIssuer(self.incarnation, ticket_s, ticket_answers)
         caller = ServiceCaller(settings, self.pools)
         self.services = ServiceRoutes(settings, self.pools, caller, keyed, tickets, self.hosts)
         host = settings.text("host.address")
-        self.peers = Peers(f"{host}:{settings.whole('host.peer_port')}", self._answer_peer, Message)
+        self.peers = Peers(
+            f"{host}:{settings.integer('host.peer_port')}", self._handle_peer_message, Message
+        )
         self.services.peers = self.peers
 
     def _build_tasks(self) -> None:
@@ -142,13 +144,13 @@
         )
 
     def _build_gateway(self) -> Gateway:
-        view = HostView(self.is_ready, self.is_stopping, self.stop, self.status, self.stats)
+        view = HostControl(self.is_ready, self.is_stopping, self.stop, self.status, self.stats)
         return Gateway(
             self.settings, self.configuration, self.pools, self.generator, self.services, view
         )
 
     def serve(self) -> None:
-        """Run until a planned stop has ended; connections are refused only after that."""
+        """Run until a planned stop has finished; connections are refused only after that."""
         limit_threads()
         start_collecting()
         self.peers.start()
@@ -156,12 +158,12 @@
         self._start_tasks()
         signal.signal(signal.SIGTERM, lambda *_: self.stop())
         signal.signal(signal.SIGINT, lambda *_: self.stop())
-        address = (self.settings.text("host.address"), self.settings.whole("host.port"))
-        listener = eventlet.listen(address, backlog=BACKLOG, reuse_port=False)
+        address = (self.settings.text("host.address"), self.settings.integer("host.port"))
+        listener = eventlet.listen(address, backlog=LISTEN_BACKLOG, reuse_port=False)
         logger.info("Host %s listens on %s:%d.", self.incarnation, *address)
         server = eventlet.spawn(self._serve_wsgi, listener)
         while not self.stopping:
-            eventlet.sleep(STOP_STEP_S)
+            eventlet.sleep(STOP_POLL_S)
         self._finish_requests()
         server.kill()
         listener.close()
@@ -175,7 +177,7 @@
             log_output=False,
             minimum_chunk_size=1,
             socket_timeout=self.settings.number("requests.read_timeout_s"),
-            max_size=self.settings.whole("requests.concurrent_max") * 2,
+            max_size=self.settings.integer("requests.concurrent_max") * 2,
             debug=False,
         )
 
@@ -193,41 +195,46 @@
     def _run_updates(self) -> None:
         while True:
             if not self.configuration.complete:
-                self._ask_configuration()
-            seen = (self.configuration.position, self.hosts.version)
-            if seen != self._seen:
-                self._seen = seen
+                self._request_configuration()
+            versions = (self.configuration.position, self.hosts.version)
+            if versions != self._applied_versions:
+                self._applied_versions = versions
                 self._update()
-            # Complete is not enough: callers would meet a host that has no pools yet.
+            # Ready only after an update: a complete configuration alone has no pools yet.
             self.updated = self.configuration.complete
-            eventlet.sleep(UPDATE_S)
+            eventlet.sleep(UPDATE_INTERVAL_S)
 
     def _update(self) -> None:
-        """Take a new configuration or host list."""
+        """Apply a new configuration or host list."""
         self.pools.update(self.configuration)
         self.contexts.update(self.configuration)
         listed = {row.peer_address for row in self.hosts.entries() if row.peer_address}
         self.peers.keep_only(listed)
 
-    def _ask_configuration(self) -> None:
-        """Take the state of the peer that is furthest on, while the log can't give it."""
-        own = self.settings.text("host.id")
-        others = [row for row in self.hosts.entries() if row.id != own and row.peer_address]
+    def _request_configuration(self) -> None:
+        """Adopt the configuration of peers while the log does not provide a complete one."""
+        own_id = self.settings.text("host.id")
+        others = [row for row in self.hosts.entries() if row.id != own_id and row.peer_address]
         random.shuffle(others)
-        for row in others[:PEERS_ASKED]:
-            answer = self.peers.ask(row.peer_address, AskConfiguration(), PEER_ASK_S)
-            if isinstance(answer, ConfigurationMessage) and answer.snapshot is not None:
-                taken = self.configuration.adopt(answer.snapshot)
-                logger.info("State of %s at %d, taken: %s.", row.id, answer.snapshot.upto, taken)
-
-    def _answer_peer(self, message: Message) -> Message:
-        if isinstance(message, AskConfiguration):
+        for row in others[:PEERS_ASKED_MAX]:
+            answer = self.peers.ask(row.peer_address, ConfigurationRequest(), PEER_TIMEOUT_S)
+            if isinstance(answer, ConfigurationReply) and answer.snapshot is not None:
+                adopted = self.configuration.adopt(answer.snapshot)
+                logger.info(
+                    "Configuration of %s at position %d, adopted: %s.",
+                    row.id,
+                    answer.snapshot.upto,
+                    adopted,
+                )
+
+    def _handle_peer_message(self, message: Message) -> Message:
+        if isinstance(message, ConfigurationRequest):
             complete = self.configuration.complete
-            return ConfigurationMessage(self.configuration.snapshot() if complete else None)
+            return ConfigurationReply(self.configuration.snapshot() if complete else None)
         return self.services.serve_peer(message)
 
     def is_ready(self) -> bool:
-        """Return whether the balancer should send callers here."""
+        """Return whether the load balancer should send requests here."""
         return self.updated and not self.stopping
 
     def is_stopping(self) -> bool:
@@ -235,27 +242,27 @@
         return self.stopping
 
     def stop(self) -> None:
-        """Begin the planned stop; signals call this in the event loop, so it only sets a flag."""
+        """Begin the planned stop; only sets a flag, since signal handlers run in the event loop."""
         self.stopping = True
 
     def _finish_requests(self) -> None:
-        """Serve on for the balancer's lag, then until no request is under way."""
+        """Keep serving for the load balancer's lag, then until no request is active."""
         began = time.monotonic()
-        logger.info("Planned stop. %d requests are under way.", self.gateway.active)
+        logger.info("Planned stop begins. %d requests are active.", self.gateway.active)
         eventlet.sleep(self.settings.number("requests.stop_lag_s"))
         latest = began + self.settings.number("requests.stop_max_s")
         while self.gateway.active and time.monotonic() < latest:
-            eventlet.sleep(STOP_STEP_S)
+            eventlet.sleep(STOP_POLL_S)
 
     @property
     def phase(self) -> HostPhase:
-        """Where this host stands in its life."""
+        """Lifecycle phase of this host."""
         if self.stopping:
             return HostPhase.STOPPING
         return HostPhase.READY if self.is_ready() else HostPhase.STARTING
 
     def stats(self) -> Stats:
-        """Return this host's percentiles."""
+        """Return this host's latency percentiles."""
         return stats_from_rows(self.histograms.rows())
 
     def status(self) -> Status:
@@ -273,7 +280,7 @@
             configuration_digest=self.configuration.digest(),
             claims_position=claims.position,
             claims_keys=len(claims.by_key),
-            leases_held=self.orders.held(),
+            leases_held=self.orders.held_pools(),
             log_reachable=self.configuration_follower.reachable,
             log_takes_appends=not any(each.failing_since for each in appenders),
             appends=sum(each.appends for each in appenders),
--- a/libs/daemon/ruddersaddle/generations.py
+++ b/libs/daemon/ruddersaddle/generations.py
@@ -1,4 +1,4 @@
-"""Generations: choose an engine, fetch what is kept, stream, and resume after an engine's death."""
+"""Generations: choose an engine, fetch stored context, stream, and resume if the engine fails."""
 
 import logging
 import time
@@ -17,28 +17,28 @@
 from ruddersaddle_upstreams.engines import EngineClient, EngineRequest, TokenStream
 
 from ruddersaddle.callers import PromptRequest
-from ruddersaddle.contexts import Found, KeptContexts
+from ruddersaddle.contexts import ContextCache, ContextLookup
 from ruddersaddle.pools import PoolView, Slot
 
 logger = logging.getLogger(__name__)
 
-TRIES_MAX = 4
-"""Tries to start a stream, first try included; a resume starts the count again."""
+ATTEMPTS_MAX = 4
+"""Attempts to start a stream, including the first; a resume resets the count."""
 RESUMES_MAX = 4
-"""Resumes of one request."""
+"""Most resumes of one request."""
 RESUME_S = 10.0
-"""A stream that had begun is given this long to go on elsewhere, in seconds."""
+"""Time for an interrupted stream to continue on another engine."""
 NO_ENGINE_S = 5.0
-"""A new request waits this long for a circuit to close before it is refused, in seconds."""
+"""Longest wait of a new request for a circuit to close before it is refused."""
 VERSION_CHANGES_MAX = 8
-"""Engines that may answer one request that they have just changed their weight version."""
+"""Most answers to one request that an engine's weight version has changed."""
 BUSY_PAUSE_S = 0.02
-"""Pause before another engine is looked for when all are busy, in seconds."""
+"""Pause before choosing again when all engines are busy."""
 SLOW_FACTOR = 4.0
 SLOW_FLOOR_S = 1.0
-"""A first token later than its prediction by the factor, and than the floor, counts as overload."""
+"""A first token later than both the floor and the factor times its prediction means overload."""
 PRIORITY_STEP = 100
-"""Priorities of one class; the next class begins after them."""
+"""Number of priorities of one class; the next class begins after them."""
 MS_PER_S = 1000.0
 
 
@@ -56,7 +56,7 @@
     """Starts generations on the engines of a pool."""
 
     def __init__(
-        self, contexts: KeptContexts, configuration: Configuration, histograms: Histograms
+        self, contexts: ContextCache, configuration: Configuration, histograms: Histograms
     ) -> None:
         self.contexts = contexts
         self.configuration = configuration
@@ -67,13 +67,13 @@
         """Wait for a slot and start a generation; its first events have not been read yet."""
         cost = count_tokens(request.text)
         limits = request.limits
-        slot = view.enter(request.workspace, cost, limits.remaining_s(), limits.urgency)
+        slot = view.acquire_slot(request.workspace, cost, limits.remaining_s(), limits.urgency)
         if isinstance(slot, Failure):
             self.counts.refused += 1
             return slot
         view.budget.record_first()
         generation = Generation(self, request, view, slot)
-        generation.expected = view.note_granted(cost)
+        generation.expected_tokens = view.record_granted(cost)
         try:
             failure = generation.begin()
         except BaseException:
@@ -86,14 +86,14 @@
         self.counts.started += 1
         return generation
 
-    def version_of(self, model: str) -> str:
-        """Return the weight version in force."""
+    def published_version(self, model: str) -> str:
+        """Return the published weight version of a model."""
         found = self.configuration.get(Model, model)
         return found.version if isinstance(found, Model) else ""
 
 
 class Generation:
-    """One request's stream over as many engines as it takes."""
+    """One request's stream, continued on other engines when one fails."""
 
     def __init__(
         self, generator: Generator, request: PromptRequest, view: PoolView, slot: Slot
@@ -103,9 +103,9 @@
         self.view = view
         self.slot = slot
         self.version = ""
-        self.expected = 0.0
+        self.expected_tokens = 0.0
         self.tokens = 0
-        self.tries = 0
+        self.attempts = 0
         self.choice: Choice | None = None
         self.stream: TokenStream | None = None
         self._began = time.monotonic()
@@ -114,12 +114,12 @@
         self._deadline = request.limits.deadline
         self._version_changes = 0
         self._keys_by_version: dict[str, list[BlockKey]] = {}
-        self._tried: set[str] = set()
-        self._slow = False
+        self._attempted: set[str] = set()
+        self._was_slow = False
         self._sent: SentRequest | None = None
 
     def keys_of(self, version: str) -> list[BlockKey]:
-        """Return the prompt's chain for a weight version."""
+        """Return the prompt's block chain for a weight version."""
         keys = self._keys_by_version.get(version)
         if keys is None:
             keys = block_keys(self._salt(version), self.request.text)
@@ -132,101 +132,102 @@
         return context_salt(workspace, body.model, version, body.adapter)
 
     def begin(self) -> Failure | None:
-        """Open a stream on the best engine; try others while that is sure not to repeat work."""
-        failure = self._no_engine()
-        while self.tries < TRIES_MAX and time.monotonic() < self._deadline:
+        """Open a stream on the best engine; try others if the failure and the budget allow."""
+        failure = self._no_engine_failure()
+        while self.attempts < ATTEMPTS_MAX and time.monotonic() < self._deadline:
             opened = self._open_best()
             if not isinstance(opened, Failure):
                 return None
             failure = opened
-            if not self._may_try_again(opened):
+            if not self._may_retry(opened):
                 return failure
         return failure
 
-    def _may_try_again(self, failure: Failure) -> bool:
-        """Return whether another engine may be tried; only tries that cost an engine are counted.
+    def _may_retry(self, failure: Failure) -> bool:
+        """Return whether another engine may be tried, and count the attempt.
 
-        A connection that was never made, and an engine that has changed its weights, cost nothing.
+        An engine that has changed its weights is not counted as an attempt, since it did no work. A
+        failed connection takes nothing from the retry budget for the same reason.
         """
         if failure.code is Code.OTHER_VERSION:
             self._version_changes += 1
             return self._version_changes <= VERSION_CHANGES_MAX
-        self.tries += 1
+        self.attempts += 1
         if failure.code is Code.NO_UPSTREAM:
             return False
         return failure.step is Step.CONNECT or self.view.budget.try_spend()
 
-    def _no_engine(self) -> Failure:
+    def _no_engine_failure(self) -> Failure:
         detail = "no engine is open"
         return Failure(Code.NO_UPSTREAM, Step.CONNECT, self.view.pool.id, detail, retry_after_s=1.0)
 
     def _open_best(self) -> Failure | None:
         homes = self.view.homes_by_template.get(self.request.body.template, ())
         prompt = Prompt(count_tokens(self.request.text), homes, self.keys_of)
-        found = self._find_kept()
-        choice = self._choose(prompt, found.kept)
+        found = self._find_stored()
+        choice = self._choose(prompt, found.chain)
         if choice is None:
-            return self._no_engine()
+            return self._no_engine_failure()
         load = choice.load
         self.choice = choice
         self.version = self.version or load.version
-        self._tried.add(load.address)
+        self._attempted.add(load.address)
         load.limit.begin()
         load.circuit.begin()
-        self._note_sent(choice.missing_tokens, prompt.tokens)
+        self._record_sent(choice.missing_tokens, prompt.tokens)
         self._sent = load.record_sent(choice.missing_tokens, self.keys_of(self.version))
         engine = self.view.engine_by_address[load.address]
         self._fetch(choice, found, engine)
         opened = engine.generate(self._engine_request())
         if isinstance(opened, Failure):
-            self._end_try(opened)
-            self._learn_version(load, opened)
+            self._end_attempt(opened)
+            self._apply_engine_version(load, opened)
             return opened
         self.stream = opened
         return None
 
-    def _note_sent(self, missing: int, tokens: int) -> None:
-        self.view.note_sent(self.expected, missing, tokens)
-        self.expected = 0.0
+    def _record_sent(self, missing: int, tokens: int) -> None:
+        self.view.record_sent(self.expected_tokens, missing, tokens)
+        self.expected_tokens = 0.0
 
-    def _learn_version(self, load: Load, failure: Failure) -> None:
-        """Take an engine's word for its weight version, which its lagged report does not have."""
+    def _apply_engine_version(self, load: Load, failure: Failure) -> None:
+        """Apply the weight version from an engine's answer, which is newer than its load report."""
         if failure.code is not Code.OTHER_VERSION:
             return
         load.record_version(failure.detail)
         if self.tokens == 0:
             self.version = ""
-            self._tried.discard(load.address)
+            self._attempted.discard(load.address)
 
-    def _find_kept(self) -> Found:
+    def _find_stored(self) -> ContextLookup:
         version = self.version or self._likely_version()
         return self.generator.contexts.find(self.keys_of(version))
 
     def _likely_version(self) -> str:
-        wanted = self.generator.version_of(self.request.body.model)
+        published = self.generator.published_version(self.request.body.model)
         versions = [load.version for load in self.view.loads() if load.version]
-        return wanted if wanted in versions or not versions else versions[0]
+        return published if published in versions or not versions else versions[0]
 
-    def _choose(self, prompt: Prompt, kept: StoredChain) -> Choice | None:
-        """Choose among the engines of one weight version, waiting while all are at their limit."""
+    def _choose(self, prompt: Prompt, stored: StoredChain) -> Choice | None:
+        """Choose among the engines of one weight version; wait while all are at their limits."""
         began = time.monotonic()
         while time.monotonic() < self._deadline:
             version = self.version or self._likely_version()
-            able = [load for load in self.view.loads() if load.version in (version, "")]
-            if not able:
+            candidates = [load for load in self.view.loads() if load.version in (version, "")]
+            if not candidates:
                 return None
-            fresh = [load for load in able if load.address not in self._tried]
-            choice = self.view.chooser.choose(fresh or able, prompt, kept)
+            unattempted = [load for load in candidates if load.address not in self._attempted]
+            choice = self.view.chooser.choose(unattempted or candidates, prompt, stored)
             if choice is not None:
                 return choice
             waited_s = time.monotonic() - began
-            comes_free = any(load.may_accept_work for load in able)
-            if not comes_free and self.tokens == 0 and waited_s > NO_ENGINE_S:
+            may_become_free = any(load.may_accept_work for load in candidates)
+            if not may_become_free and self.tokens == 0 and waited_s > NO_ENGINE_S:
                 return None
             eventlet.sleep(BUSY_PAUSE_S)
         return None
 
-    def _fetch(self, choice: Choice, found: Found, engine: EngineClient) -> None:
+    def _fetch(self, choice: Choice, found: ContextLookup, engine: EngineClient) -> None:
         keys = self.keys_of(self.version)[: choice.fetch_until]
         if found.store is None or choice.fetch_until <= choice.cached_blocks:
             return
@@ -248,15 +249,15 @@
         )
 
     def _priority(self) -> int:
-        """Return the engine's priority: by class, then by how little the workspace has under way.
+        """Return the priority for the engine: by class, then by the workspace's active requests.
 
-        What waits at an engine so waits in fair turn too.
+        Workspaces with fewer active requests go first, so the engine's queue is fair too.
         """
-        under_way = self.view.queue.count_of(self.request.workspace.id)
-        return self.request.limits.priority * PRIORITY_STEP + min(under_way, PRIORITY_STEP - 1)
+        active = self.view.queue.count_of(self.request.workspace.id)
+        return self.request.limits.priority * PRIORITY_STEP + min(active, PRIORITY_STEP - 1)
 
     def events(self) -> Iterator[bytes | Failure]:
-        """Yield whole events as they arrive; a failure, if any, comes last."""
+        """Yield complete events as they arrive; a failure, if any, comes last."""
         while True:
             data = self.stream.read_some()
             if isinstance(data, Failure):
@@ -269,10 +270,10 @@
             if not data:
                 self.generator.counts.finished += 1
                 return
-            self._note_events()
+            self._record_events()
             yield data
 
-    def _note_events(self) -> None:
+    def _record_events(self) -> None:
         now = time.monotonic()
         added = self.stream.next_token - self.tokens
         first = self.tokens == 0
@@ -280,12 +281,12 @@
         measure = Measure.FIRST_TOKEN if first else Measure.BETWEEN_TOKENS
         elapsed_s = (now - self._last_event) / max(1, added)
         self._last_event = now
-        self._record(measure, elapsed_s)
+        self._record_latency(measure, elapsed_s)
         self._sent.finish()
         if first:
-            self._judge_first(elapsed_s)
+            self._check_first_token(elapsed_s)
 
-    def _judge_first(self, elapsed_s: float) -> None:
+    def _check_first_token(self, elapsed_s: float) -> None:
         logger.debug(
             "First token of %s after %.0f ms, predicted %.0f ms. Cached %d, fetched to %d.",
             self.request.id,
@@ -295,43 +296,43 @@
             self.choice.fetch_until,
         )
         expected_s = max(SLOW_FLOOR_S, self.choice.predicted_s * SLOW_FACTOR)
-        self._slow = elapsed_s > expected_s
+        self._was_slow = elapsed_s > expected_s
 
-    def _record(self, measure: Measure, elapsed_s: float) -> None:
+    def _record_latency(self, measure: Measure, elapsed_s: float) -> None:
         workspace = self.request.workspace.id
         group = self.request.limits.group
         self.generator.histograms.record(measure, workspace, group, elapsed_s * MS_PER_S)
 
     def _resume(self, failure: Failure) -> Failure | None:
-        """Go on from the last token delivered, on another engine of the same weight version."""
+        """Continue after the last delivered token, on another engine of the same weight version."""
         self._close_stream()
-        self._end_try(failure)
+        self._end_attempt(failure)
         self.resumes += 1
         if self.resumes > RESUMES_MAX:
             return failure
-        self.tries = 0
+        self.attempts = 0
         self._deadline = max(self._deadline, time.monotonic() + RESUME_S)
         logger.info(
-            "Stream of %s is resumed at token %d.",
+            "Resuming the stream of %s at token %d.",
             self.request.id,
             self.tokens,
             extra={"request": self.request.id},
         )
-        again = self.begin()
-        if again is None:
+        failure_after_resume = self.begin()
+        if failure_after_resume is None:
             self.generator.counts.resumed += 1
             return None
-        return again.with_ran(Ran.UNKNOWN)
+        return failure_after_resume.with_ran(Ran.UNKNOWN)
 
-    def _end_try(self, failure: Failure | None) -> None:
+    def _end_attempt(self, failure: Failure | None) -> None:
         if self.choice is None:
             return
         load = self.choice.load
         self._sent.finish()
-        harmless = (Code.OVERLOADED, Code.OTHER_VERSION)
+        tolerated_codes = (Code.OVERLOADED, Code.OTHER_VERSION)
         overloaded = failure is not None and failure.code is Code.OVERLOADED
-        failed = failure is not None and failure.code not in harmless
-        load.limit.end(overloaded or self._slow)
+        failed = failure is not None and failure.code not in tolerated_codes
+        load.limit.end(overloaded or self._was_slow)
         load.circuit.end(failed)
         self.choice = None
 
@@ -341,15 +342,15 @@
             self.stream = None
 
     def finish(self) -> None:
-        """End the request: give back what it holds, and keep its context for later."""
-        whole = self.stream is not None and self.stream.done
+        """End the request: release its resources and save its context in the background."""
+        complete = self.stream is not None and self.stream.done
         choice = self.choice
-        self.view.unsent_tokens -= self.expected
+        self.view.unsent_tokens -= self.expected_tokens
         self._close_stream()
-        self._end_try(None)
+        self._end_attempt(None)
         self.slot.release()
-        if whole and choice is not None:
-            self._record(Measure.WHOLE, time.monotonic() - self._began)
+        if complete and choice is not None:
+            self._record_latency(Measure.TOTAL, time.monotonic() - self._began)
             engine = self.view.engine_by_address.get(choice.load.address)
             if engine is not None:
-                self.generator.contexts.keep_later(engine, self.request.id)
+                self.generator.contexts.save_in_background(engine, self.request.id)
--- a/libs/daemon/ruddersaddle/published_files.py
+++ b/libs/daemon/ruddersaddle/published_files.py
@@ -1,4 +1,4 @@
-"""Published configuration as operators write it: an INI file, one section for each entry.
+"""Configuration files of operators: INI, with one section for each entry.
 
 A section is `[kind:id]`. Lists are separated by commas. An upstream is `id@IP:port@hall`, a path
 rule is `prefix once` or `prefix repeat`. A section with `delete = yes` deletes its entry.
@@ -26,15 +26,15 @@
 ARGUMENT_PREFIX = "argument."
 
 
-class Wanted(msgspec.Struct, frozen=True):
-    """One entry as a file wants it; None deletes it."""
+class DesiredEntry(msgspec.Struct, frozen=True):
+    """The desired value of one entry; None deletes the entry."""
 
     key: EntryKey
     value: Value | None
 
 
-def read_published(path: str) -> list[Wanted] | list[Problem]:
-    """Return the entries that a file wants, or every problem with its place."""
+def read_published(path: str) -> list[DesiredEntry] | list[Problem]:
+    """Return the entries of a file, or all problems with their lines."""
     parser = configparser.ConfigParser(interpolation=None)
     try:
         text = Path(path).read_text(encoding="utf-8")
@@ -42,7 +42,7 @@
     except (OSError, UnicodeDecodeError, configparser.Error) as error:
         sentence = " ".join(str(error).split())
         return [Problem(path, getattr(error, "lineno", 0) or 0, "file", sentence)]
-    wanted: list[Wanted] = []
+    wanted: list[DesiredEntry] = []
     problems: list[Problem] = []
     for section in parser.sections():
         found = _read_section(path, text, section, dict(parser.items(section)))
@@ -53,13 +53,15 @@
     return problems or wanted
 
 
-def _read_section(path: str, text: str, section: str, items: dict[str, str]) -> Wanted | Problem:
+def _read_section(
+    path: str, text: str, section: str, items: dict[str, str]
+) -> DesiredEntry | Problem:
     kind, _, name = section.partition(":")
     line = _section_line(text, section)
     if kind not in TYPE_BY_KIND:
         return Problem(path, line, section, f"[kind:id]; {suggest(kind, TYPE_BY_KIND)}")
     if items.get(DELETE) == "yes":
-        return Wanted(EntryKey(f"{kind}/{name}"), None)
+        return DesiredEntry(EntryKey(f"{kind}/{name}"), None)
     value_type = TYPE_BY_KIND[kind]
     known = value_type.__struct_fields__
     for key in items:
@@ -73,7 +75,7 @@
     except (msgspec.ValidationError, ValueError) as error:
         return Problem(path, line, section, str(error))
     wrong = check_value(value)
-    return Problem(path, line, section, wrong) if wrong else Wanted(entry_key(value), value)
+    return Problem(path, line, section, wrong) if wrong else DesiredEntry(entry_key(value), value)
 
 
 def _section_line(text: str, section: str) -> int:
@@ -128,7 +130,7 @@
 
 
 def format_published(values: list[Value]) -> str:
-    """Return values in the form of a file."""
+    """Return values as the text of a configuration file."""
     return "\n".join(_format_value(value) for value in values)
 
 
--- a/libs/daemon/ruddersaddle/replays.py
+++ b/libs/daemon/ruddersaddle/replays.py
@@ -1,7 +1,7 @@
-"""Replays a trace's arrivals against running hosts and checks the outcomes that can be seen there.
+"""Replays a trace's arrivals against running hosts and checks the outcomes visible to callers.
 
-Recorded traces hold no text, so each context gets text of its own of the recorded size. Faults are
-for a bench to bring about; they are counted and passed over here.
+Recorded traces contain no text, so each context gets generated text of the recorded size. Faults in
+a trace are injected by benches; they are counted but not injected here.
 """
 
 import configparser
@@ -16,7 +16,7 @@
 from ruddersaddle_upstreams.engines import DONE
 
 from ruddersaddle.keys import new_key
-from ruddersaddle.traces import Arrival, Stated, TraceLine, fill_text
+from ruddersaddle.traces import Arrival, ExpectedOutcome, TraceLine, fill_text
 
 THREADS = 128
 TIMEOUT_S = 120.0
@@ -27,17 +27,17 @@
 KEYS_SECTION = "keys"
 
 
-class Sent(msgspec.Struct):
-    """One arrival and what came back: the status, 0 for none, and whether it was whole."""
+class ArrivalResult(msgspec.Struct):
+    """One arrival and its response: status (0 without a response) and whether it was complete."""
 
     arrival: Arrival
     status: int
-    whole: bool
+    complete: bool
     first_ms: float
 
 
 class ReplayReport(msgspec.Struct):
-    """What a replay gave; outcomes that can't be seen from here are named as not judged."""
+    """Results of a replay; expected outcomes that callers can't see are listed in `not_judged`."""
 
     arrivals: int
     answered_prompts: int
@@ -50,7 +50,7 @@
 
 
 def read_caller_keys(path: str) -> dict[str, str] | Problem:
-    """Return callers' keys by workspace from an INI file's `[keys]` section."""
+    """Return the callers' keys by workspace from the `[keys]` section of an INI file."""
     parser = configparser.ConfigParser(interpolation=None)
     try:
         parser.read_string(Path(path).read_text(encoding="utf-8"), source=path)
@@ -62,7 +62,7 @@
 
 
 class TraceReplay:
-    """One replay against the hosts at some addresses, each in turn."""
+    """One replay against hosts, which are used in round-robin order."""
 
     def __init__(self, addresses: list[str], key_by_workspace: dict[str, str], model: str) -> None:
         self.addresses = addresses
@@ -71,19 +71,19 @@
         self.http = urllib3.PoolManager(maxsize=THREADS, retries=False, timeout=TIMEOUT_S)
 
     def run(self, lines: list[TraceLine]) -> ReplayReport:
-        """Send every arrival at its time and report."""
+        """Send every arrival at its time and return the report."""
         arrivals = [line for line in lines if isinstance(line, Arrival)]
         began = time.monotonic()
         with ThreadPoolExecutor(THREADS) as pool:
-            waiting = []
+            futures = []
             for number, arrival in enumerate(arrivals):
                 time.sleep(max(0.0, began + arrival.at - time.monotonic()))
                 address = self.addresses[number % len(self.addresses)]
-                waiting.append(pool.submit(self._send, number, arrival, address))
-            sent = [each.result() for each in waiting]
+                futures.append(pool.submit(self._send, number, arrival, address))
+            sent = [each.result() for each in futures]
         return report_replay(sent, lines)
 
-    def _send(self, number: int, arrival: Arrival, address: str) -> Sent:
+    def _send(self, number: int, arrival: Arrival, address: str) -> ArrivalResult:
         key = self.key_by_workspace.get(arrival.workspace, "")
         headers = {"Authorization": f"Bearer {key}", "Priority-Class": arrival.group}
         if arrival.path == COMPLETIONS:
@@ -102,10 +102,10 @@
             )
             first = reply.read1()
             first_ms = (time.monotonic() - began) * MS_PER_S
-            whole = (first + reply.read()).endswith(DONE)
+            complete = (first + reply.read()).endswith(DONE)
         except urllib3.exceptions.HTTPError:
-            return Sent(arrival, 0, False, 0.0)
-        return Sent(arrival, reply.status, whole, first_ms)
+            return ArrivalResult(arrival, 0, False, 0.0)
+        return ArrivalResult(arrival, reply.status, complete, first_ms)
 
     def _prompt_body(self, number: int, arrival: Arrival) -> dict[str, object]:
         body = {"model": self.model, "stream": True, "max_tokens": max(1, arrival.answer_tokens)}
@@ -116,27 +116,32 @@
         return {**body, "prompt": f"{text} question {number}"}
 
 
-def report_replay(sent: list[Sent], lines: list[TraceLine]) -> ReplayReport:
-    """Return a replay's counts and how its stated outcomes came out."""
+def report_replay(sent: list[ArrivalResult], lines: list[TraceLine]) -> ReplayReport:
+    """Return the counts of a replay and the expected outcomes that were missed."""
     prompts = [each for each in sent if each.arrival.path == COMPLETIONS]
-    answered = [each for each in prompts if each.whole]
-    seen = {
+    answered = [each for each in prompts if each.complete]
+    counts = {
         "answered_prompts": len(answered),
-        "cut_streams": sum(each.status == OK and not each.whole for each in prompts),
+        "cut_streams": sum(each.status == OK and not each.complete for each in prompts),
         "answered_calls": sum(
             each.status == OK for each in sent if each.arrival.path != COMPLETIONS
         ),
     }
     broken, not_judged = [], []
     for line in lines:
-        if not isinstance(line, Stated):
+        if not isinstance(line, ExpectedOutcome):
             continue
-        if line.name not in seen:
+        if line.name not in counts:
             not_judged.append(line.name)
-        elif not line.lowest <= seen[line.name] <= line.highest:
-            broken.append(f"{line.name}: {seen[line.name]}, {line.lowest:g} to {line.highest:g}")
+        elif not line.lowest <= counts[line.name] <= line.highest:
+            broken.append(f"{line.name}: {counts[line.name]}, {line.lowest:g} to {line.highest:g}")
     times = sorted(each.first_ms for each in answered) or [0.0]
     p50, p95 = (times[int((len(times) - 1) * share)] for share in (0.5, 0.95))
     return ReplayReport(
-        len(sent), **seen, first_p50_ms=p50, first_p95_ms=p95, broken=broken, not_judged=not_judged
+        len(sent),
+        **counts,
+        first_p50_ms=p50,
+        first_p95_ms=p95,
+        broken=broken,
+        not_judged=not_judged,
     )
--- a/libs/daemon/ruddersaddle/service_routes.py
+++ b/libs/daemon/ruddersaddle/service_routes.py
@@ -1,4 +1,4 @@
-"""Calls of plain services as callers make them: repeatable, with a key, or with a ticket."""
+"""Callers' calls of plain services: repeatable, with a key, or with a ticket."""
 
 import logging
 from collections.abc import Callable, Iterable
@@ -18,18 +18,24 @@
 from ruddersaddle.answers import Answer, AnswerCounts
 from ruddersaddle.bodies import read_body
 from ruddersaddle.callers import CALLER, KEY_HEADER, Limits, read_key, read_retry_token
-from ruddersaddle.keyed_calls import ASK_S, STILL_RUNNING_S, KeyedCall, KeyedCalls, to_message
+from ruddersaddle.keyed_calls import (
+    ANSWER_WAIT_S,
+    OWNER_TIMEOUT_S,
+    KeyedCall,
+    KeyedCalls,
+    to_message,
+)
 from ruddersaddle.messages import (
-    AnswerMessage,
-    AskAnswer,
-    AskTicketed,
+    AnswerReply,
+    AnswerRequest,
     Message,
     ServiceCall,
+    TicketedCallRequest,
 )
 from ruddersaddle.pools import Pools, PoolView
 from ruddersaddle.responses import Responder
 from ruddersaddle.service_calls import ServiceCaller
-from ruddersaddle.tickets import TicketOffice, is_ticket, parse_ticket
+from ruddersaddle.tickets import TicketIssuer, is_ticket, parse_ticket
 
 logger = logging.getLogger(__name__)
 
@@ -54,7 +60,7 @@
         pools: Pools,
         caller: ServiceCaller,
         keyed: KeyedCalls,
-        tickets: TicketOffice,
+        tickets: TicketIssuer,
         hosts: HostList,
     ) -> None:
         self.settings = settings
@@ -71,8 +77,8 @@
         return TicketReply(self.tickets.issue(workspace.id), self.tickets.valid_s)
 
     def read_body(self, environ: Environ) -> bytes | Failure:
-        """Return a request's whole body."""
-        bytes_max = self.settings.whole("requests.body_max")
+        """Return a request's complete body."""
+        bytes_max = self.settings.integer("requests.body_max")
         return read_body(environ, bytes_max, self.settings.number("requests.read_timeout_s"))
 
     def serve(
@@ -90,7 +96,7 @@
         answer = self._run(environ, view, workspace, call, limits)
         if isinstance(answer, Failure):
             return responder.send_failure(answer)
-        return _pass_reply(answer, responder)
+        return _forward_reply(answer, responder)
 
     def _run(
         self,
@@ -101,12 +107,12 @@
         limits: Limits,
     ) -> Answer:
         if view.pool.is_repeatable(environ["PATH_INFO"]):
-            return self._in_slot(view, workspace, limits, self.caller.dispatch, call)
+            return self._dispatch_in_slot(view, workspace, limits, self.caller.dispatch, call)
         answer = self._run_once(environ, view, workspace, call, limits)
-        self.counts.note(answer)
+        self.counts.record(answer)
         return answer
 
-    def _in_slot(
+    def _dispatch_in_slot(
         self,
         view: PoolView,
         workspace: Workspace,
@@ -114,7 +120,7 @@
         dispatch: Callable[[ServiceCall], Answer],
         call: ServiceCall,
     ) -> Answer:
-        slot = view.enter(workspace, CALL_COST, limits.remaining_s())
+        slot = view.acquire_slot(workspace, CALL_COST, limits.remaining_s())
         if isinstance(slot, Failure):
             return slot
         try:
@@ -141,7 +147,7 @@
             return token.with_ran(Ran.UNKNOWN)
         name = CallKey(f"{workspace.id}/{key.key}")
         keyed = KeyedCall(name, key.dated, token, call, limits.deadline)
-        slot = view.enter(workspace, CALL_COST, limits.remaining_s())
+        slot = view.acquire_slot(workspace, CALL_COST, limits.remaining_s())
         if isinstance(slot, Failure):
             return self.keyed.refuse(keyed, slot)
         try:
@@ -157,9 +163,11 @@
             return ticket
         if ticket.owner == self.tickets.incarnation:
             return self.tickets.run(workspace.id, text, call, self.caller.dispatch_once)
-        question = AskTicketed(ticket.owner, workspace.id, text, call)
+        request = TicketedCallRequest(ticket.owner, workspace.id, text, call)
         while limits.remaining_s() > 0:
-            message = self.ask_owner(ticket.owner, question, min(ASK_S, limits.remaining_s()))
+            message = self.ask_owner(
+                ticket.owner, request, min(OWNER_TIMEOUT_S, limits.remaining_s())
+            )
             if isinstance(message, Failure):
                 return message.with_ran(Ran.UNKNOWN)
             if message.reply is not None:
@@ -169,46 +177,46 @@
         return Failure(Code.DEADLINE, Step.PEER, ticket.owner, "still running", Ran.UNKNOWN)
 
     def ask_owner(
-        self, owner: Incarnation, question: AskAnswer | AskTicketed, timeout_s: float
-    ) -> AnswerMessage | Failure:
-        """Ask the process that owns a key or ticket; one that is not listed is gone."""
+        self, owner: Incarnation, request: AnswerRequest | TicketedCallRequest, timeout_s: float
+    ) -> AnswerReply | Failure:
+        """Ask the process that owns a key or ticket; a process on an unlisted host is gone."""
         row = self.hosts.by_id.get(incarnation_host(owner))
         if row is None or not row.peer_address or self.peers is None:
-            detail = "the host is not listed"
+            detail = "the owner's host is not in the host list"
             return Failure(Code.PEER_GONE, Step.PEER, owner, detail, Ran.UNKNOWN)
-        answer = self.peers.ask(row.peer_address, question, timeout_s)
-        if isinstance(answer, Failure | AnswerMessage):
+        answer = self.peers.ask(row.peer_address, request, timeout_s)
+        if isinstance(answer, Failure | AnswerReply):
             return answer
-        return Failure(Code.PEER_GONE, Step.PEER, owner, "another message came", Ran.UNKNOWN)
+        return Failure(Code.PEER_GONE, Step.PEER, owner, "unexpected type of reply", Ran.UNKNOWN)
 
-    def serve_peer(self, message: Message) -> AnswerMessage:
-        """Answer another host's question about a key or a ticket that this process owns."""
+    def serve_peer(self, message: Message) -> AnswerReply:
+        """Handle another host's request about a key or a ticket that this process owns."""
         match message:
-            case AskAnswer():
+            case AnswerRequest():
                 return self.keyed.serve(message)
-            case AskTicketed() if message.owner == self.tickets.incarnation:
+            case TicketedCallRequest() if message.owner == self.tickets.incarnation:
                 return self._serve_ticketed(message)
         detail = "the process that issued the ticket is gone"
         failure = Failure(Code.PEER_GONE, Step.PEER, "host", detail, Ran.UNKNOWN)
-        return AnswerMessage(failure=failure)
+        return AnswerReply(failure=failure)
 
-    def _serve_ticketed(self, question: AskTicketed) -> AnswerMessage:
-        """Start a ticket's call if it was not, and wait a little for its answer."""
-        key = CallKey(question.ticket)
+    def _serve_ticketed(self, request: TicketedCallRequest) -> AnswerReply:
+        """Start a ticket's call unless it was started, and wait a short time for its answer."""
+        key = CallKey(request.ticket)
         answers = self.tickets.answers
         if key not in answers.by_key:
             task = eventlet.spawn(
                 self.tickets.run,
-                question.workspace,
-                question.ticket,
-                question.call,
+                request.workspace,
+                request.ticket,
+                request.call,
                 self.caller.dispatch_once,
             )
             eventlet.sleep(0)
             if key not in answers.by_key:
-                # It was refused and holds no slot, so its answer is here at once.
+                # The call was refused without a slot, so the task ends at once.
                 return to_message(task.wait())
-        return to_message(answers.join(key, question.call, STILL_RUNNING_S))
+        return to_message(answers.join(key, request.call, ANSWER_WAIT_S))
 
 
 def _read_call(
@@ -236,11 +244,17 @@
     return ServiceCall(responder.request, view.pool.id, method, path, pairs, body, seconds)
 
 
-def _pass_reply(reply: Reply, responder: Responder) -> Iterable[bytes]:
-    passed = [(name, value) for name, value in reply.headers if is_forwarded(name)]
-    kept = [pair for pair in passed if pair[0].lower() not in ("content-type", "request-id")]
+def _forward_reply(reply: Reply, responder: Responder) -> Iterable[bytes]:
+    forwarded = [(name, value) for name, value in reply.headers if is_forwarded(name)]
+    upstream_headers = [
+        pair for pair in forwarded if pair[0].lower() not in ("content-type", "request-id")
+    ]
     by_name = {name.lower(): value for name, value in reply.headers}
     kind = by_name.get("content-type", "application/octet-stream")
-    headers = [*responder.headers(kind), *kept, ("Content-Length", str(len(reply.body)))]
+    headers = [
+        *responder.headers(kind),
+        *upstream_headers,
+        ("Content-Length", str(len(reply.body))),
+    ]
     responder.start(f"{reply.status} Answered", headers)
     return [reply.body]
--- a/libs/daemon/ruddersaddle/tests/test_callers.py
+++ b/libs/daemon/ruddersaddle/tests/test_callers.py
@@ -1,13 +1,13 @@
-"""Tests of requests' parsing: whatever comes, a typed value or a clear failure."""
+"""Tests of request parsing: any input gives a typed value or a failure."""
 
 import unittest
 import uuid
 
 from hypothesis import given, strategies
-from ruddersaddle_base.codecs import decode_packed
+from ruddersaddle_base.codecs import decode_msgpack
 from ruddersaddle_base.failures import Code, Failure, Step
 from ruddersaddle_base.ids import START, RecordId, WorkspaceId
-from ruddersaddle_base.tests.drawn_inputs import DRAWN
+from ruddersaddle_base.tests.property_tests import DETERMINISTIC
 from ruddersaddle_serving.peers import Envelope
 from ruddersaddle_state.configurations import Configuration
 from ruddersaddle_state.entries import Template, Value, Workspace, entry_key
@@ -50,13 +50,13 @@
         found = render_prompt(configured(CLINIC, template), CLINIC, body)
         self.assertIs(found.code, Code.BAD_REQUEST)
 
-    def test_a_parameter_is_put_in_as_text_and_not_read_again(self):
+    def test_a_parameter_is_inserted_as_text_and_not_substituted_again(self):
         template = Template("t", CLINIC.id, "Dear $name, $day", ("name", "day"))
         body = CompletionBody("m", template="t", parameters={"name": "$day", "day": "$name"})
         text = render_prompt(configured(CLINIC, template), CLINIC, body)
         self.assertEqual(text, "Dear $day, $name")
 
-    def test_a_turn_of_a_chat_is_a_prefix_of_the_next(self):
+    def test_prompt_and_answer_of_a_chat_are_a_prefix_of_the_next_turn(self):
         first = read_completion(b'{"model":"m","messages":[{"role":"user","content":"a"}]}', True)
         later = b'{"model":"m","messages":[{"role":"user","content":"a"},'
         later += b'{"role":"assistant","content":"b"},{"role":"user","content":"c"}]}'
@@ -64,7 +64,7 @@
         texts = [render_prompt(configured(CLINIC), CLINIC, body) for body in (first, second)]
         self.assertTrue(texts[1].startswith(texts[0] + "b"))
 
-    def test_keys_bear_their_time_or_a_date(self):
+    def test_keys_contain_their_time_or_need_a_date(self):
         key = uuid.UUID(int=(1_700_000_000_000 << 80) | (7 << 76) | (2 << 62))
         self.assertEqual(read_key({"HTTP_IDEMPOTENCY_KEY": str(key)}).dated, 1_700_000_000.0)
         date = "Tue, 14 Nov 2023 22:13:20 GMT"
@@ -73,12 +73,12 @@
         for key in ("", "order-7", "a b", "x" * 201, str(uuid.uuid4())):
             self.assertIs(read_key({"HTTP_IDEMPOTENCY_KEY": key}).code, Code.KEY_NOT_DATED)
 
-    @DRAWN
+    @DETERMINISTIC
     @given(strategies.binary(max_size=200), strategies.booleans())
     def test_any_body_gives_a_value_or_a_failure(self, data, chat):
         self.assertIsInstance(read_completion(data, chat), CompletionBody | Failure)
 
-    @DRAWN
+    @DETERMINISTIC
     @given(strategies.text(max_size=60))
     def test_any_header_gives_a_value_or_a_failure(self, text):
         self.assertIsInstance(read_limits({"HTTP_DEADLINE_MS": text}, 1.0), Limits | Failure)
@@ -91,10 +91,10 @@
         self.assertIsInstance(parse_ticket(text), Ticket | Failure)
         self.assertIsInstance(is_ticket(text), bool)
 
-    @DRAWN
+    @DETERMINISTIC
     @given(strategies.binary(max_size=200))
     def test_any_message_of_a_peer_gives_a_value_or_a_failure(self, data):
-        found = decode_packed(data, Envelope, Step.PEER, "peer")
+        found = decode_msgpack(data, Envelope, Step.PEER, "peer")
         self.assertIsInstance(found, Envelope | Failure)
 
 
--- a/libs/daemon/ruddersaddle/tests/test_traces.py
+++ b/libs/daemon/ruddersaddle/tests/test_traces.py
@@ -1,4 +1,4 @@
-"""Tests of traces: recording, reading back, and problems with their line."""
+"""Tests of traces: recording, reading back, and errors with their line."""
 
 import tempfile
 import unittest
@@ -6,11 +6,11 @@
 
 from ruddersaddle.commands import summarize_trace
 from ruddersaddle.traces import (
-    WORKSPACE_NOTE,
+    WORKSPACE_KEY,
     Arrival,
+    ExpectedOutcome,
     Fault,
     Recorder,
-    Stated,
     read_trace,
     write_trace,
 )
@@ -27,7 +27,7 @@
 
         def application(environ, _start):
             if environ["PATH_INFO"] != "/healthz":
-                environ[WORKSPACE_NOTE] = "clinic"
+                environ[WORKSPACE_KEY] = "clinic"
             return [b"answer"]
 
         wrapped = recorder.wrap(application)
@@ -49,7 +49,7 @@
         lines = [
             Arrival(1.0, "w", "/booking/slot", key="k"),
             Fault(2.0, "kill", "engine-1"),
-            Stated("cut_streams", 0, 0),
+            ExpectedOutcome("cut_streams", 0, 0),
         ]
         write_trace(self.path, lines)
         self.assertEqual(read_trace(self.path), lines)
--- a/libs/standins/ruddersaddle_standins/tests/test_configuration_force.py
+++ b/libs/standins/ruddersaddle_standins/tests/test_configuration_force.py
@@ -9,7 +9,7 @@
 from concurrent.futures import ThreadPoolExecutor
 
 import msgspec
-from ruddersaddle.publishers import Publisher, Word
+from ruddersaddle.publishers import Publisher, PublishOutcome
 from ruddersaddle_base.failures import Failure
 from ruddersaddle_base.ids import WorkspaceId
 from ruddersaddle_state.entries import EntryKey, Workspace
@@ -36,7 +36,7 @@
         cls.addClassCleanup(cls.fleet.stop)
 
     def setUp(self):
-        self.fleet.wait_whole()
+        self.fleet.wait_recovered()
         self.fleet.publisher.read()
 
     def publisher(self) -> Publisher:
@@ -75,26 +75,26 @@
         with ThreadPoolExecutor(6) as pool:
             results = list(pool.map(publish, range(6)))
         words = [result.word for result in results]
-        self.assertEqual(words.count(Word.ACCEPTED), 1)
-        self.assertEqual(words.count(Word.REJECTED), 5)
-        winner = words.index(Word.ACCEPTED)
+        self.assertEqual(words.count(PublishOutcome.ACCEPTED), 1)
+        self.assertEqual(words.count(PublishOutcome.REJECTED), 5)
+        winner = words.index(PublishOutcome.ACCEPTED)
         self.assertEqual(self.weight(), 10 + winner)
-        losers = [result for result in results if result.word is Word.REJECTED]
+        losers = [result for result in results if result.word is PublishOutcome.REJECTED]
         self.assertTrue(all(results[winner].change in result.reason for result in losers))
         self.await_alike()
 
     def test_a_lost_answer_ends_accepted_since_the_change_is_read_back(self):
         publisher = self.publisher()
-        self.fleet.fault("log", "lose", 1)
+        self.fleet.inject_fault("log", "lose", 1)
         result = publisher.publish("op", [self.edit(publisher, 21)], 5.0)
-        self.assertEqual((result.word, self.weight()), (Word.ACCEPTED, 21))
+        self.assertEqual((result.word, self.weight()), (PublishOutcome.ACCEPTED, 21))
         self.await_alike()
 
     def test_a_late_append_ends_unknown_and_its_fate_can_be_found_out(self):
         publisher = self.publisher()
-        self.fleet.fault("log", "late", 4.0, 1.0)
+        self.fleet.inject_fault("log", "late", 4.0, 1.0)
         result = publisher.publish("op", [self.edit(publisher, 22)], 0.5)
-        self.assertEqual(result.word, Word.UNKNOWN)
+        self.assertEqual(result.word, PublishOutcome.UNKNOWN)
         wait_until(lambda: self.weight() == 22, "the late change lands")
         self.await_alike()
 
@@ -103,7 +103,7 @@
         self.fleet.by_name["log"].freeze()
         result = publisher.publish("op", [self.edit(publisher, 23)], 0.5)
         self.fleet.by_name["log"].thaw()
-        self.assertEqual(result.word, Word.UNKNOWN)
+        self.assertEqual(result.word, PublishOutcome.UNKNOWN)
         # The bytes had left, so the log takes the append once it goes on.
         wait_until(lambda: self.weight() == 23, "the change lands")
         publisher.read()
@@ -117,12 +117,12 @@
         addresses = self.fleet.address_by_name
         command = [sys.executable, "-m", "ruddersaddle.programs", "config", "publish", str(file)]
         command += ["--log", addresses["log"], "--hosts", addresses["list"]]
-        self.fleet.fault("log", "late", 1.0, 5.0)
+        self.fleet.inject_fault("log", "late", 1.0, 5.0)
         child = subprocess.Popen(command, stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL)
         wait_until(lambda: self.has_landed(child), "the change lands")
         child.kill()
         child.wait()
-        self.fleet.clear("log", "late")
+        self.fleet.clear_fault("log", "late")
         self.await_alike()
 
     def has_landed(self, child: subprocess.Popen) -> bool:
@@ -134,14 +134,14 @@
         self.await_alike()
         process = self.fleet.by_name["host-3"]
         process.kill()
-        self.fleet.fault("log", "refuse")
-        self.addCleanup(self.fleet.clear, "log", "refuse")
+        self.fleet.inject_fault("log", "refuse")
+        self.addCleanup(self.fleet.clear_fault, "log", "refuse")
         self.fleet.replace_host("host-3")
         self.assertEqual(self.digest("host-3"), self.digest("host-1"))
 
     def test_alone_in_an_outage_a_host_is_not_ready(self):
-        self.fleet.fault("log", "refuse")
-        self.addCleanup(self.fleet.clear, "log", "refuse")
+        self.fleet.inject_fault("log", "refuse")
+        self.addCleanup(self.fleet.clear_fault, "log", "refuse")
         lonely = self.fleet.add_host("host-9", platform__host_list="127.0.0.1:1")
         self.addCleanup(lambda: (lonely.kill(), self.fleet.by_name.pop("host-9")))
         self.addCleanup(self.fleet.row_by_name.pop, "host-9")
