--- a/libs/routing/ruddersaddle_routing/choices.py
+++ b/libs/routing/ruddersaddle_routing/choices.py
@@ -17,9 +17,9 @@
 Without it, hosts that see a new prefix at the same time would each compute it on another engine.
 """
 CACHE_WEIGHT = 1.0
-"""Weight of recomputing the blocks that new ones evict from the engine's cache."""
+"""Weight of the time to recompute blocks that new ones evict from the engine's cache."""
 WORK_WEIGHT = 1.0
-"""Weight of the engine's work relative to the wait of the request's own caller."""
+"""Weight of the engine's prefill work relative to the time to first token."""
 
 
 @dataclass(frozen=True)
@@ -66,7 +66,10 @@
 
 
 class StoredChain(msgspec.Struct, frozen=True):
-    """How much of a block chain a store host holds, and the predicted time to fetch it."""
+    """How many leading blocks of a chain a store host holds, and the predicted time to fetch them.
+
+    `wait_s` passes before the first block is fetched.
+    """
 
     blocks: int = 0
     seconds_per_block: float = 0.0
@@ -76,7 +79,9 @@
 class Choice(msgspec.Struct):
     """A chosen upstream, with the stored blocks to fetch into it first.
 
-    `predicted_s` is the predicted time to the first token.
+    The prompt's blocks from `cached_blocks` up to `fetch_until` are fetched; it is 0 if none are.
+    `predicted_s` is the predicted time to the first token. `missing_tokens` have to be prefilled,
+    and `new_blocks` are not in the upstream's cache yet.
     """
 
     load: Load
--- a/libs/routing/ruddersaddle_routing/queues.py
+++ b/libs/routing/ruddersaddle_routing/queues.py
@@ -30,8 +30,8 @@
 class FairQueue:
     """Slots of one pool on this host.
 
-    `capacity` returns the current number of slots, `is_open` whether the upstreams can use more
-    work. Requests are held back here because they are ordered fairly here, but not at an upstream.
+    `capacity` returns the current number of slots, `is_open` whether the upstreams accept more
+    work. Requests wait here because this queue orders them fairly, and upstreams don't.
     """
 
     def __init__(
@@ -50,7 +50,7 @@
 
     @property
     def has_room(self) -> bool:
-        """Whether a slot is free; the first one is so even while `is_open` is false."""
+        """Whether a slot is free; while `is_open` is false, one slot may still be used."""
         return self.in_use < self.capacity() and (self.in_use == 0 or self.is_open())
 
     @property
--- a/libs/routing/ruddersaddle_routing/retries.py
+++ b/libs/routing/ruddersaddle_routing/retries.py
@@ -4,7 +4,7 @@
 from enum import Enum
 
 BUDGET_MAX = 10.0
-"""Retries that may accumulate while there are no failures."""
+"""Maximum number of unspent retries that a budget accumulates."""
 
 
 class RetryBudget:
--- a/libs/serving/ruddersaddle_serving/admissions.py
+++ b/libs/serving/ruddersaddle_serving/admissions.py
@@ -6,7 +6,7 @@
 priority is refused first, immediately, while the others still meet their latency targets.
 
 Sustained overload: a request is admitted if its own first event would meet the target. Its prefill
-and its memory add to that time, so smaller requests of the same kind always get the room first.
+and its memory add to that time, so smaller requests of the same kind are always admitted first.
 This is shortest job first, which starves the largest requests for as long as the overload lasts. A
 randomly drawn part of the requests is therefore judged as if they were of the median size of those
 admitted recently.
@@ -22,7 +22,8 @@
 """Share of an engine's memory that is reserved for each priority level. An engine that runs out of
 memory preempts the run of the lowest priority and repeats its prefill."""
 RESERVED_LEVELS = 3
-"""Levels below the highest priority that are distinguished; lower ones count as the last."""
+"""Priority levels below the highest for which the reserved shares add up; lower ones count as the
+last of these."""
 TARGET_SHARE_MAX = 1.1
 TARGET_SHARE_MIN = 0.7
 TARGET_SHARE_SLOPE = 12.0
@@ -48,7 +49,7 @@
     requests: int
     """Requests of any priority; a run holds its slot until it ends, whatever waits."""
     lower_priority: int
-    """Requests among these of a lower priority, which are admitted later if they wait."""
+    """Those of `requests` that have a lower priority; any of them that wait are admitted later."""
     run_s: float
     """Mean length of a run, which determines how fast slots become free."""
     memory_run_s: float
--- a/libs/serving/ruddersaddle_serving/cached_parts.py
+++ b/libs/serving/ruddersaddle_serving/cached_parts.py
@@ -27,7 +27,7 @@
 SAVE_DEDUP_S = 5.0
 """A part is not saved again for this long after a save of it was requested."""
 SAVE_DEDUP_MAX = 10_000
-"""Expired entries are removed from the record of recent saves beyond this many."""
+"""Once more saves than this are recorded, those older than `SAVE_DEDUP_S` are removed."""
 RETRY_S = 0.4
 LONG_POLL_S = 0.5
 """Longest wait of a poll for changes. Stores allow twice as much, but the listing has to be
@@ -36,7 +36,7 @@
 """Pause after an answer with changes, so that further changes share the next answer. Answers within
 200 ms are charged as probes."""
 RESERVED_WATCHERS = 4
-"""Polls that a store can hold but that are reserved for hosts that start or whose reader is being
+"""Concurrent polls of a store that are reserved for hosts that start or whose reader is being
 replaced."""
 FOLLOW_CHECK_S = 1.0
 """Pause between checks whether this host should poll a store that it doesn't poll yet."""
@@ -53,7 +53,7 @@
         self.polls_directly: Callable[[ContextStore], bool] = lambda spec: True
         """Whether this host polls a store itself or gets its changes from another host."""
         self.broadcast_lost: Callable[[StoreId], None] = lambda store: None
-        """Tells the hosts that rely on this host's polls that a store refuses connections."""
+        """Notifies the hosts that rely on this host's polls that a store refuses connections."""
 
     def apply_table(self, table: RouteTable) -> None:
         """Apply the stores of a configuration."""
@@ -163,8 +163,9 @@
     ) -> Transfer:
         """Return where an engine in `hall` fetches the shared parts from and where it saves them.
 
-        The engine is assumed to cache the first `covered_tokens` of the prompt itself. A part is
-        fetched only if all parts before it are cached or fetched.
+        `holders` has a store that holds it, or None, for each shared part. The engine is assumed to
+        cache the first `covered_tokens` of the prompt itself. A part is fetched only if all parts
+        before it are cached or fetched.
         """
         fetch: list[str | None] = []
         save: list[str | None] = []
@@ -209,9 +210,10 @@
     def _choose_among_best(
         self, fitting: list[StoreView], part: Part, tier: float, hall: HallId
     ) -> StoreView:
-        """Return the store for a part among those of the best tier.
+        """Return the store for a part among those whose fixed delay suits it best.
 
-        Equally good stores divide the parts by rendezvous hashing, which spreads links and memory
+        The shortest delay is best if `tier` is 1, the longest if it is -1. Equally good
+        stores divide the parts by rendezvous hashing, which spreads the load on links and memory
         evenly and has all hosts choose the same store for a part.
         """
         best = min(tier * store.spec.first_s for store in fitting)
--- a/libs/serving/ruddersaddle_serving/cold_starts.py
+++ b/libs/serving/ruddersaddle_serving/cold_starts.py
@@ -17,11 +17,11 @@
 
     instance: UpstreamInstance
     heartbeat: Heartbeat
-    """The write of the entry that reported it, with the seconds left now."""
+    """The write of the entry that reported it, with the remaining seconds as of now."""
 
 
 class _Reported(msgspec.Struct, frozen=True):
-    """The newest write that was read; `until` is on the steady clock."""
+    """The newest write that was read; `until` is on the monotonic clock."""
 
     sequence: int
     until: float
@@ -54,7 +54,7 @@
             self.apply(each.instance, each.heartbeat)
 
     def until(self, instance: UpstreamInstance) -> float:
-        """Return until when an instance is cold, on the steady clock.
+        """Return until when an instance is cold, on the monotonic clock.
 
         The result is minus infinity if it was never reported as cold.
         """
--- a/libs/serving/ruddersaddle_serving/context_stores.py
+++ b/libs/serving/ruddersaddle_serving/context_stores.py
@@ -18,8 +18,8 @@
 
 LISTING_TRUST_S = 2.0
 """How long a listing is trusted, counted from when the poll that last confirmed it was sent. A poll
-waits up to `LONG_POLL_S` for changes; hosts that don't poll a store ask another host each half
-second."""
+waits up to `cached_parts.LONG_POLL_S` for changes; hosts that don't poll a store ask another host
+each half second."""
 FETCH_TIMEOUT_S = 1.4
 """The engine discards a fetch that takes longer. Recomputing a prompt of 30,000 tokens takes 0.3 to
 0.6 s."""
@@ -28,7 +28,7 @@
 listing is trusted for up to `LISTING_TRUST_S`, and a fetch that starts then may take
 `FETCH_TIMEOUT_S`."""
 FULL_FRACTION = 0.97
-"""Nothing is saved to a store beyond this fraction of its capacity."""
+"""A store counts as full beyond this fraction of its capacity; nothing is saved to it then."""
 DEFAULT_TOKEN_BYTES = 32_768
 """Memory of one token if the configuration doesn't state it; used only to compare a transfer with
 recomputation. Known kinds of engines use 18,000 to 35,000 bytes."""
@@ -77,8 +77,8 @@
         """Stop fetching from the store until it answers a request that is sent after this.
 
         An engine takes about 0.3 s to notice that a store is gone. If the listing stayed trusted,
-        one lost store of nineteen would delay every prompt that starts with a part of it so for up
-        to `LISTING_TRUST_S`.
+        one lost store of nineteen would delay every prompt that fetches from it by that time, for
+        up to `LISTING_TRUST_S`.
         """
         self.lost_at = clocks.now_s()
 
@@ -173,7 +173,7 @@
         self.knows_clock = True
 
     def parts_before(self, model: ModelId, version: int) -> tuple[StoreChange, ...]:
-        """Return removals of the parts that older weights of a model computed."""
+        """Return a change that removes it for each part computed with older weights of a model."""
         return tuple(
             StoreChange(salt, part, 0)
             for salt, part in self.tokens_by_part
@@ -182,12 +182,12 @@
 
     @property
     def clock_ms(self) -> float:
-        """The engines' clock now, extrapolated from its last known value."""
+        """Time on the engines' clock now, in ms, extrapolated from its last known value."""
         return clocks.now_s() * 1000.0 + self.clock_offset_ms
 
     @property
     def fetch_until_ms(self) -> int:
-        """Deadline of a fetch that starts now, on the engines' clock."""
+        """Deadline of a fetch that starts now, in ms on the engines' clock."""
         return int(self.clock_ms + FETCH_TIMEOUT_S * 1000.0)
 
 
--- a/libs/serving/ruddersaddle_serving/engine_loads.py
+++ b/libs/serving/ruddersaddle_serving/engine_loads.py
@@ -21,17 +21,21 @@
 INITIAL_RUN_S = 1.0
 """Assumed length of a run before the first observation; known kinds of requests take 0.1 to 5 s."""
 RUN_WEIGHT = 0.05
-"""Weight of the latest run in the moving average, which covers about the last twenty runs, or one
-to two seconds."""
+"""Weight of the latest run in the moving average, which covers about the last twenty runs: one to
+two seconds on a busy engine."""
 RUN_WEIGHT_MAX = 0.3
-"""Limit on the weight of one run with many tokens in the average weighted by memory."""
+"""Limit on the weight of one run with many tokens in the average weighted by tokens."""
 
 PRIORITY_LEVELS = 10
 """Priority levels of engines; 0 is the highest."""
 
 
 class SentRequest(msgspec.Struct):
-    """A request sent to the engine; `prefill_s` is its nominal prefill time."""
+    """A request sent to the engine.
+
+    `prefill_s` is its nominal prefill time; `sent_at` and `first_at`, the time of its first event,
+    are on the monotonic clock.
+    """
 
     priority: int
     prefill_s: float
@@ -63,7 +67,7 @@
 
 
 class EngineLoad:
-    """The requests at one engine, by the number that their host gave them.
+    """The requests at one engine, by their host and the number that the host gave them.
 
     An engine admits higher priorities first, so a request waits for those of the same or a higher
     priority. Requests that this host gets no notices of are known as sums, by reporting host.
--- a/libs/serving/ruddersaddle_serving/evacuations.py
+++ b/libs/serving/ruddersaddle_serving/evacuations.py
@@ -10,7 +10,7 @@
 logger = logging.getLogger(__name__)
 
 RESTORE_GRACE_S = 10.0
-"""How long an evacuation stays in force that a restored store lacks, so that operators can write it
+"""How long an evacuation that a restored store lacks stays in force, so that operators can write it
 again."""
 
 
@@ -22,7 +22,7 @@
 
 
 class Evacuations:
-    """The evacuated halls. Moments are on the steady clock."""
+    """The evacuated halls. Times are on the monotonic clock."""
 
     def __init__(self) -> None:
         self._since_by_hall: dict[HallId, float] = {}
--- a/libs/serving/ruddersaddle_serving/liveness.py
+++ b/libs/serving/ruddersaddle_serving/liveness.py
@@ -2,10 +2,10 @@
 
 Load pattern: a third of the engines becomes unreachable while a hundred or more hosts send to all
 of them. If each host had to detect that by itself, it would cost one caller its latency target for
-each pair of host and engine (3,000 pairs with 195 hosts and 16 unreachable engines), and again
-after each retry pause. Hosts therefore share what they receive from each upstream, and two of them
-probe an unresponsive one. Nothing here reads a clock: times are passed in, in seconds of the
-monotonic clock.
+each pair of host and engine (3,000 pairs with 195 hosts and 16 unreachable engines), and again each
+time that the host tries the engine again. Hosts therefore share what they receive from each
+upstream, and two of them probe an unresponsive one. Nothing here reads a clock: times are passed
+in, in seconds of the monotonic clock.
 """
 
 import msgspec
@@ -16,12 +16,12 @@
 response was due. Busy engines respond ten times a second, so the margin is for rarely used ones: a
 long prompt alone on an engine that prefills at half the usual rate is 0.3 s late."""
 RESTART_MIN_S = 1.0
-"""An upstream that was unresponsive for at least this long may have restarted."""
+"""An upstream that was unresponsive for at least this long may have restarted and be cold."""
 REPORT_TTL_S = 1.0
 """Reports of other hosts on an upstream are valid for this long. Hall readers report twelve times a
 second, and a run takes about this long."""
 UNANSWERED_MAX = 64
-"""Limit on the requests watched per upstream; a single overdue one is enough."""
+"""Limit on the requests watched per upstream; one overdue request suffices to detect it."""
 
 RequestKey = tuple[str | HostId, int]
 """Identifies a request: its host, and the number that the host gave it."""
--- a/libs/serving/ruddersaddle_serving/load_shares.py
+++ b/libs/serving/ruddersaddle_serving/load_shares.py
@@ -1,8 +1,9 @@
 """Exchanges the load of engines between hosts.
 
-A few hosts send one another each step of each request. Many hosts send them to the reader of their
-hall, which aggregates them, exchanges sums with the readers of other halls, and sends the totals to
-its hall. The number of messages then grows with the hosts, not with hosts times requests.
+If there are few hosts, each notifies all others of each step of its requests. If there are many,
+they notify only the reader of their hall, the one host that collects data for it. The reader
+aggregates the notices, exchanges sums with the readers of other halls, and sends the totals to its
+hall. The number of messages then grows with the hosts, not with hosts times requests.
 """
 
 import itertools
@@ -40,7 +41,7 @@
 CPU time: a message of 105 engines has 5.4 KB, and decoding and applying it takes 0.17 ms on each
 host of a hall, without system calls."""
 RESPONSE_AGE_MAX_MS = 60_000
-"""Longest time since a response that is reported."""
+"""Longer times since the last response are reported as this one."""
 ROLE_CHECK_INTERVAL_S = 0.5
 """Interval at which a host that doesn't aggregate checks whether it should."""
 
@@ -71,7 +72,7 @@
     is_replaced: bool = False
     """Whether another upstream answers at its address."""
     born_ms: int | None = None
-    """Identifies its instance; None if it is unknown."""
+    """Time of birth, which identifies its instance; None if it is unknown."""
     overhead_ms: float = OVERHEAD_S * 1000
     """Time to a first event beside queueing and prefill."""
     limit: LimitUpdate | None = None
--- a/libs/serving/ruddersaddle_serving/part_relays.py
+++ b/libs/serving/ruddersaddle_serving/part_relays.py
@@ -22,8 +22,8 @@
 """Pause between requests. A listing is trusted for 2 s; with the reader's own poll (0.5 s), its
 confirmation is about a second old when the next answer arrives."""
 START_PAUSE_S = 0.2
-"""The same until each store has been listed once. A reader that started at the same time knows them
-within 0.1 s."""
+"""Pause between requests until each store has been listed once. A reader that started at the same
+time has listed them within 0.1 s."""
 
 
 class PartRelay:
--- a/libs/serving/ruddersaddle_serving/part_updates.py
+++ b/libs/serving/ruddersaddle_serving/part_updates.py
@@ -1,4 +1,4 @@
-"""Messages by which hosts exchange changes at context stores, so that few hosts poll each store."""
+"""Messages by which hosts relay changes at context stores, so that few hosts poll each store."""
 
 import msgspec
 from ruddersaddle_base import clocks
@@ -9,7 +9,7 @@
 from ruddersaddle_serving.ports import StoreChange
 
 ROWS_MAX = 3000
-"""Most parts in one answer, about 120 KB, unless a single store has more."""
+"""Most changes in one answer, about 120 KB, unless a single store has more."""
 
 
 class KnownRevision(msgspec.Struct, frozen=True, array_like=True):
@@ -44,7 +44,10 @@
 
 
 class PartsUpdate(msgspec.Struct, frozen=True, tag="parts_news"):
-    """The answer, with stores whose listing the peer trusts; the next answer has those left out."""
+    """Answer to a `PartsRequest`: changes at the stores whose listing the peer trusts.
+
+    Stores that are left out because of `ROWS_MAX` are in a later answer.
+    """
 
     stores: tuple[StoreUpdate, ...]
 
@@ -87,7 +90,7 @@
 
 
 def apply_store_update(store: StoreView, update: StoreUpdate, asked_at: float) -> None:
-    """Apply a peer's update.
+    """Apply a peer's update to the view of its store.
 
     Its age is counted from when the request was sent, so the listing never seems too recent.
     """
--- a/libs/serving/ruddersaddle_serving/placements.py
+++ b/libs/serving/ruddersaddle_serving/placements.py
@@ -21,8 +21,8 @@
 from ruddersaddle_serving.weighings import CostEstimator, Estimate
 
 CANDIDATES_MAX = 8
-"""Engines that are compared for a prompt; each costs 9 us. The candidates are selected by the parts
-that prompts share, so that only a few engines cache the same part."""
+"""Engines that are compared for a prompt; each comparison takes 9 us. The candidates are selected
+by the parts that prompts share, so that only a few engines cache the same part."""
 CACHED_RANKINGS_MAX = 1000
 """Affinity keys whose engine rankings are cached."""
 OVERFLOW_SAMPLE_SIZE = 2
@@ -34,8 +34,9 @@
 (4,440 instead of 3,300 in 9 s, with 195 hosts and a view that is 0.1 s old) and miss more targets
 under 1.6 times the usual load."""
 VERSION_MARGIN_S = 2.5
-"""Old weights are avoided this long before their bound: the bound counts from the operator's write,
-which this host receives up to a second later, and the request still has to be delivered."""
+"""Replaced weights are avoided this long before `version_bound_s` has passed: that time counts from
+the operator's write, which this host receives up to a second later, and the request still has to be
+delivered."""
 RETRY_SOON_S = 0.25
 """Retry-after for a pool that currently has no usable upstream; an engine that refused is available
 again, or another one is found, within some hundred milliseconds."""
@@ -54,7 +55,7 @@
     candidates: int
     assignment: Assignment | None = None
     first_s: float = 0.0
-    """Time within which a response is expected: predicted for a prompt, else the target."""
+    """Time within which a response is expected: predicted for a prompt, else the route's target."""
     wait_s: float = 0.0
     """Predicted wait at the upstream before the prefill starts."""
     covered_tokens: int = 0
@@ -75,7 +76,10 @@
 
 
 class Placement:
-    """Chooses upstreams by their entries, weights, cached parts and load."""
+    """Chooses upstreams by their entries, weights, cached parts and load.
+
+    Replaced weights of a model may be used for `version_bound_s` after newer ones are published.
+    """
 
     def __init__(
         self,
@@ -184,7 +188,7 @@
         )
 
     def check_available(self, tracker: Tracker) -> Failure | None:
-        """Return why a request may no longer be sent to an upstream that was already chosen."""
+        """Return why a request may no longer be sent to its chosen upstream, or None if it may."""
         hall = tracker.entry.hall
         if self.upstreams.is_leaving(tracker.entry.instance):
             detail = "since it was chosen, it reported that it leaves"
@@ -341,7 +345,10 @@
         return best.excess_s(request, share)
 
     def _refuse(self, request: CallerRequest, best: Estimate) -> Failure:
-        """Refuse, with the time until it would be admitted; jitter spreads out the retries."""
+        """Refuse a request, with the predicted time until it would be admitted as retry-after.
+
+        Jitter spreads out the retries.
+        """
         target_s = request.route.target_latency_s
         own_s = best.first_s - best.wait_s
         detail = (
--- a/libs/serving/ruddersaddle_serving/prompts.py
+++ b/libs/serving/ruddersaddle_serving/prompts.py
@@ -49,7 +49,7 @@
 
 
 class CallerHead(msgspec.Struct, frozen=True):
-    """What a request's headers state; `budget_s` is how long the caller waits."""
+    """What a request's headers state; `budget_s` is how long the caller waits, if stated."""
 
     id: RequestId
     key: str | None
--- a/libs/serving/ruddersaddle_serving/replaced_parts.py
+++ b/libs/serving/ruddersaddle_serving/replaced_parts.py
@@ -34,7 +34,10 @@
 
 
 class ReplacedParts:
-    """The task that frees parts; only the host that ranks first for a model does it."""
+    """The task that frees parts; only the host that ranks first for a model does it.
+
+    `stopping` is set when this host shuts down; it then frees nothing more.
+    """
 
     def __init__(
         self,
--- a/libs/serving/ruddersaddle_serving/request_sizes.py
+++ b/libs/serving/ruddersaddle_serving/request_sizes.py
@@ -19,7 +19,8 @@
 RECENT_SIZES = 200
 """Requests of a route that a size is compared with: a host gets this many in 20 to 200 s."""
 ROUTES_MAX = 32
-"""Number of most recently used routes that are counted; a deployment has a few with sizes."""
+"""Number of most recently used routes that are counted; a deployment has a few whose requests are
+prompts."""
 
 
 class SizeBand(Enum):
--- a/libs/serving/ruddersaddle_serving/routes.py
+++ b/libs/serving/ruddersaddle_serving/routes.py
@@ -29,7 +29,11 @@
 
 
 class Route(msgspec.Struct, frozen=True):
-    """Which requests match, where they are sent, and under which limits."""
+    """Which requests match, where they are sent, and under which limits.
+
+    `host` is the host name in the request's URL. A caller's request times out after `timeout_s`;
+    its first event should come within `target_latency_s`.
+    """
 
     name: RouteName
     host: str
@@ -75,7 +79,11 @@
 
 
 class ContextStore(msgspec.Struct, frozen=True):
-    """A store of cached prompt parts; `first_s` is the fixed delay of each transfer."""
+    """A store of cached prompt parts.
+
+    `first_s` is the fixed delay of each transfer, `watchers_max` the most concurrent calls that
+    wait for changes at the store.
+    """
 
     id: StoreId
     address: str
--- a/libs/serving/ruddersaddle_serving/self_reports.py
+++ b/libs/serving/ruddersaddle_serving/self_reports.py
@@ -21,7 +21,7 @@
     leaving: bool = False
     """Whether it accepts no new work; an instance never takes that back."""
     backoff_s: float | Failure = 0.0
-    """How long it wants no more requests from the host that it refused."""
+    """How long the host that it answered should send it no more requests, in seconds."""
 
 
 EMPTY_REPORT = SelfReport()
@@ -30,7 +30,7 @@
 """Lower limits count as this one: with no requests at all, no host would learn of the limit's
 end."""
 LIMIT_TRUST_S = 4.0
-"""A limit that no answer has confirmed for this long is given up, as if it had ended."""
+"""A limit that no answer has confirmed for this long is treated as if it had ended."""
 RAMP_DOUBLING_S = 0.5
 """After a limit has ended, the allowed rate doubles in this time, so that hosts don't all return at
 once."""
@@ -68,7 +68,7 @@
 
 
 class RateLimit:
-    """The rate limit of one instance of an upstream; moments are on the steady clock."""
+    """The rate limit of one instance of an upstream; times are on the monotonic clock."""
 
     def __init__(self) -> None:
         self._latest: LimitUpdate | None = None
@@ -143,7 +143,7 @@
 
 
 class ReportedState:
-    """What one instance of an upstream has reported about itself and still holds."""
+    """What one instance of an upstream has reported about itself and is still in force."""
 
     def __init__(self) -> None:
         self.rate_limit = RateLimit()
--- a/libs/serving/ruddersaddle_serving/service_times.py
+++ b/libs/serving/ruddersaddle_serving/service_times.py
@@ -9,7 +9,7 @@
 
 NOMINAL_PREFILL_TOKENS_S = 50_000.0
 """Assumed prefill rate of an idle engine before the first observation. Known engine types reach
-48,000 to 112,000 tokens a second; the estimated factor covers the difference."""
+48,000 to 112,000 tokens a second; `ServiceTime.prefill_factor` covers the difference."""
 OVERHEAD_S = 0.04
 """Assumed time to a first event beside prefill and queueing, before the first observation."""
 STEP_FACTOR = 1.03
--- a/libs/serving/ruddersaddle_serving/tests/test_large_requests.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_large_requests.py
@@ -118,11 +118,18 @@
                 self.replay(with_sized_scaled(load, factor, 4))
 
     def test_long_prompts_beside_two_kinds_of_higher_priority(self) -> None:
-        """Memory binds; with 0.6 judged as common, 0.23 of the largest tenth, 0.50 of all."""
+        """Memory is the bottleneck.
+
+        If 0.6 of the requests are judged as median, 0.23 of the largest tenth are served, and 0.50
+        of all requests of their kind.
+        """
         self.replay(scaled(FIVE, 3.0, 1))
 
     def test_long_prompts_while_engines_are_lost(self) -> None:
-        """With 0.6 judged as common, 0.21 of the largest tenth are served, 0.46 of all."""
+        """If 0.6 of the requests are judged as median, 0.21 of the largest tenth are served.
+
+        Of all requests of their kind, 0.46 are served then.
+        """
         self.replay(scaled(msgspec.structs.replace(FIVE, outage=(4.0, 20.0, 0.34)), 2.2, 2))
 
 
--- a/libs/serving/ruddersaddle_serving/tests/test_load_replays.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_load_replays.py
@@ -1,7 +1,7 @@
 """Tests of the decisions under the loads that they are designed for.
 
-Each lower bound lies between the results with and without the mechanism that the test guards, both
-given beside it as the earned share of the possible worth.
+Each lower bound lies between the results with and without the mechanism that the test guards. Both
+are given with the test, as the earned share of the possible worth.
 """
 
 import logging
@@ -33,20 +33,23 @@
         self.assertGreater(self.replay(CALM).worth, 0.95)
 
     def test_engines_lost_under_load(self) -> None:
-        """A quarter is down from the first second on: 0.862, else 0.841 (short 0.97, else 0.92)."""
+        """A quarter of the engines is down from the first second on.
+
+        Worth 0.862 (short prompts 0.97); without the mechanism 0.841 (short prompts 0.92).
+        """
         load = msgspec.structs.replace(CALM, outage=(1.0, 6.0, 0.24))
         outcome = self.replay(load)
         self.assertGreater(outcome.worth, 0.85)
         self.assertGreater(outcome.tally_by_kind["short"].share, 0.95)
 
     def test_surge_of_1_6_times_the_usual(self) -> None:
-        """0.798, else 0.707 (middle 0.90, else 0.74)."""
+        """Worth 0.798 (middle 0.90); without the mechanism 0.707 (middle 0.74)."""
         outcome = self.replay(msgspec.structs.replace(CALM, surge=(1.0, 5.0, 1.6)))
         self.assertGreater(outcome.worth, 0.75)
         self.assertGreater(outcome.tally_by_kind["middle"].share, 0.8)
 
     def test_surge_while_engines_are_lost(self) -> None:
-        """0.744, else 0.636."""
+        """Worth 0.744; without the mechanism 0.636."""
         load = msgspec.structs.replace(CALM, surge=(1.0, 5.0, 1.3), outage=(1.0, 6.0, 0.24))
         self.assertGreater(self.replay(load).worth, 0.7)
 
--- a/libs/serving/ruddersaddle_serving/trackers.py
+++ b/libs/serving/ruddersaddle_serving/trackers.py
@@ -40,7 +40,7 @@
 SENDS_MAX = 1024
 """Send times recorded per upstream; a host may send fewer requests a second to a cold one."""
 REPORTED_MAX = 1000
-"""Instances without an entry whose self-reported state is retained."""
+"""Instances without an entry for which self-reported state is retained."""
 SAME_LISTING_S = 0.5
 """Two upstreams at one address that became known within this time may both be in the first list
 that a host reads, which doesn't say which one is older."""
@@ -98,7 +98,7 @@
     expected_s: float = 0.0
     """With `SENT`: the time within which a response is expected."""
     born_ms: int | None = None
-    """Identifies the instance of the upstream; None if it is unknown."""
+    """Time of birth, which identifies the instance of the upstream; None if it is unknown."""
     limit: LimitUpdate | None = None
     """Rate limit that an answer reported."""
     leave: LeaveNotice | None = None
@@ -136,7 +136,7 @@
         self.memory = EngineMemory(memory_tokens)
         self.version_by_model = dict(entry.version_by_model)
         self.avoided_until = 0.0
-        """Until when it is loading weights for the lease holder, on the monotonic clock."""
+        """Until when it is avoided, as the lease holder has it load weights; monotonic clock."""
         self.liveness = Liveness()
         self.sends = RecentSends()
         self.reported = reported or ReportedState()
--- a/libs/serving/ruddersaddle_serving/upstream_quotas.py
+++ b/libs/serving/ruddersaddle_serving/upstream_quotas.py
@@ -5,8 +5,8 @@
 and start cold again. The rate that such an upstream can take is therefore split into quotas of a
 few hosts, chosen by rendezvous hashing over the host list. Hosts agree on them without messages,
 even if they can't reach each other; the quota of a failed host stays unused. While host lists
-differ, more hosts than these send to the upstream. Quotas add up to a rate that it can sustain,
-and it crashes only well above that.
+differ, some more hosts send to the upstream. That is tolerable, as quotas add up to a rate that it
+can sustain, and it crashes only well above that.
 """
 
 import math
@@ -42,8 +42,8 @@
 def compute_quota(per_s: float, ranked_hosts: list[str], host: str) -> Quota:
     """Return a host's quota of an upstream's rate.
 
-    `ranked_hosts` are all hosts in the upstream's own rendezvous order. As many of them have a
-    quota as the upstream accepts requests per second.
+    `ranked_hosts` are all hosts in the upstream's own rendezvous order. The first ones have a
+    quota: as many hosts as the upstream accepts requests per second, at least one.
     """
     if per_s < 1.0:
         is_first = bool(ranked_hosts) and ranked_hosts[0] == host
@@ -70,7 +70,7 @@
         """Digest of the host list that the cached ranks were computed from."""
 
     def cold_until(self, tracker: Tracker) -> float:
-        """Return until when an upstream is cold, on the steady clock.
+        """Return until when an upstream is cold, on the monotonic clock.
 
         Its own report takes up to two seconds to arrive. So it is also assumed to be cold after it
         was unresponsive, as it may have restarted, and after an evacuation of its hall has ended.
--- a/libs/serving/ruddersaddle_serving/weighings.py
+++ b/libs/serving/ruddersaddle_serving/weighings.py
@@ -20,7 +20,11 @@
 
 
 class Estimate(msgspec.Struct, frozen=True):
-    """Predicted cost of a prompt on one engine, in seconds."""
+    """Predicted cost of a prompt on one engine, in seconds; sizes are in tokens.
+
+    `fetch_s` is the time to fetch parts from context stores. `covered_tokens` are estimated to be
+    cached by the engine, `missing_tokens` have to be prefilled.
+    """
 
     tracker: Tracker
     version: int | None
@@ -74,7 +78,11 @@
 
 
 class CostEstimator:
-    """Estimates the cost of one prompt; context stores are searched once for each salt."""
+    """Estimates the cost of one prompt on each engine.
+
+    Context stores are searched once for each salt: `holders_by_salt` has a store that holds it, or
+    None, for each shared part of the prompt.
+    """
 
     def __init__(self, request: CallerRequest, prompt: Prompt, cached_parts: CachedParts) -> None:
         self.request = request
@@ -141,7 +149,10 @@
 def _fetchable_parts(
     prompt: Prompt, cached: int, holders: list[StoreView | None], hall: HallId
 ) -> tuple[int, float]:
-    """Return the tokens of the parts after the cached ones that can be fetched, and their time."""
+    """Return the tokens that can be fetched after the `cached` ones, and the time that takes.
+
+    Fetching stops at the first part that no store holds.
+    """
     fetched = 0
     fetch_s = 0.0
     passed = 0
