--- a/libs/serving/ruddersaddle_serving/cached_parts.py
+++ b/libs/serving/ruddersaddle_serving/cached_parts.py
@@ -202,22 +202,22 @@
         # A slow store adds a delay to each transfer. It hardly matters for a part whose transfer
         # takes longer, so that the capacity of fast stores is left to parts for which it matters.
         is_large = slowest.link_s(part.tokens) > slowest.spec.first_s
-        tier = -1.0 if is_large else 1.0
-        chosen = self._choose_among_best(fitting, part, tier, hall)
+        delay_sign = -1.0 if is_large else 1.0
+        chosen = self._choose_among_best(fitting, part, delay_sign, hall)
         self._record_saving(key, now)
         return chosen.spec.address
 
     def _choose_among_best(
-        self, fitting: list[StoreView], part: Part, tier: float, hall: HallId
+        self, fitting: list[StoreView], part: Part, delay_sign: float, hall: HallId
     ) -> StoreView:
         """Return the store for a part among those whose fixed delay suits it best.
 
-        The shortest delay is best if `tier` is 1, the longest if it is -1. Equally good
+        The shortest delay is best if `delay_sign` is 1, the longest if it is -1. Equally good
         stores divide the parts by rendezvous hashing, which spreads the load on links and memory
         evenly and has all hosts choose the same store for a part.
         """
-        best = min(tier * store.spec.first_s for store in fitting)
-        equal = [store for store in fitting if tier * store.spec.first_s == best]
+        best = min(delay_sign * store.spec.first_s for store in fitting)
+        equal = [store for store in fitting if delay_sign * store.spec.first_s == best]
         quickest_s = min(store.transfer_s(part.tokens, hall) for store in equal)
         equal = [store for store in equal if store.transfer_s(part.tokens, hall) <= quickest_s]
         by_id = {store.spec.id: store for store in equal}
