--- a/libs/serving/ruddersaddle_serving/context_stores.py
+++ b/libs/serving/ruddersaddle_serving/context_stores.py
@@ -114,16 +114,16 @@
     def apply(self, change: StoreChange) -> None:
         """Apply that a part is complete, or was removed if its `tokens` are 0."""
         key = (change.salt, change.part)
-        self.used_tokens -= _round_up(self.tokens_by_part.pop(key, 0))
+        self.used_tokens -= _round_up_to_block(self.tokens_by_part.pop(key, 0))
         if change.tokens > 0:
             self.tokens_by_part[key] = change.tokens
-            self.used_tokens += _round_up(change.tokens)
+            self.used_tokens += _round_up_to_block(change.tokens)
         self.revision += 1
         self._recent.append((self.revision, change))
 
     def record_incomplete(self, parts: Iterable[StoreChange]) -> None:
         """Account for incompletely saved parts: they occupy memory and can't be fetched."""
-        self.used_tokens += sum(_round_up(part.tokens) for part in parts)
+        self.used_tokens += sum(_round_up_to_block(part.tokens) for part in parts)
 
     def changes_since(self, revision: int) -> tuple[StoreChange, ...] | None:
         """Return the changes since a revision, or None if they are no longer retained."""
@@ -191,7 +191,7 @@
         return int(self.clock_ms + FETCH_TIMEOUT_S * 1000.0)
 
 
-def _round_up(tokens: int) -> int:
+def _round_up_to_block(tokens: int) -> int:
     return -(-tokens // BLOCK_TOKENS) * BLOCK_TOKENS
 
 
