--- a/libs/routing/ruddersaddle_routing/queues.py
+++ b/libs/routing/ruddersaddle_routing/queues.py
@@ -77,16 +77,16 @@
             self._grant(tag)
             self._hold(workspace, 1)
             return True
-        item = Waiter()
-        heapq.heappush(self._heap, (tag, next(self._order), item))
+        waiter = Waiter()
+        heapq.heappush(self._heap, (tag, next(self._order), waiter))
         self._wait(workspace, 1)
         try:
             with eventlet.Timeout(timeout_s, False):
-                item.signal.wait()
-            self._hold(workspace, int(item.signal.ready()))
-            return item.signal.ready()
+                waiter.signal.wait()
+            self._hold(workspace, int(waiter.signal.ready()))
+            return waiter.signal.ready()
         finally:
-            item.abandoned = True
+            waiter.abandoned = True
             self._wait(workspace, -1)
 
     def count_of(self, workspace: WorkspaceId) -> int:
@@ -114,11 +114,11 @@
     def wake(self) -> None:
         """Grant free slots to the waiting requests with the smallest tags."""
         while self._heap and self.has_room:
-            tag, _, item = heapq.heappop(self._heap)
-            if item.abandoned or item.signal.ready():
+            tag, _, waiter = heapq.heappop(self._heap)
+            if waiter.abandoned or waiter.signal.ready():
                 continue
             self._grant(tag)
-            item.signal.send(True)
+            waiter.signal.send(True)
         if not self._heap:
             self._forget_idle()
 
