--- a/libs/serving/ruddersaddle_serving/tests/test_placements.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_placements.py
@@ -41,12 +41,12 @@
 ROUTE = Route(RouteName("r"), "h", "/", RouteKind.STREAM, 9.0, 0.4, (Target(POOL),), priority=1)
 
 
-def make_request(tokens: int, as_common: bool = False) -> CallerRequest:
-    """Return a prompt; `as_common` sets how admission judges it, which production code draws."""
+def make_request(tokens: int, as_median: bool = False) -> CallerRequest:
+    """Return a prompt; `as_median` sets how admission judges it, which production code draws."""
     parts = (Part(PartId("shared"), tokens - 10), Part(PartId("own"), 10))
     head = CallerHead(RequestId("q"), None, None, Prompt(MODEL, parts, tokens, 0), None, ())
     request = CallerRequest(head, "POST", "/", b"", ROUTE, None, clocks.now_s())
-    request.is_judged_as_median = as_common
+    request.is_judged_as_median = as_median
     return request
 
 
@@ -131,15 +131,15 @@
     def test_large_request_that_is_judged_as_median_is_refused_where_a_common_one_is(self) -> None:
         for _ in range(9):
             self.choose(400, may_refuse=True)
-        large, common = make_request(2000, as_common=True), make_request(400)
+        large, common = make_request(2000, as_median=True), make_request(400)
         outcomes = self.outcomes_while_engines_fill(large, common)
         self.assertEqual(set(outcomes), {(False, False), (True, True)})
 
     def test_small_request_that_is_judged_as_median_is_admitted_as_by_its_own_size(self) -> None:
         for _ in range(9):
             self.choose(400, may_refuse=True)
-        as_common, by_own_size = (make_request(50, as_common=each) for each in (True, False))
-        outcomes = self.outcomes_while_engines_fill(as_common, by_own_size)
+        as_median, by_own_size = (make_request(50, as_median=each) for each in (True, False))
+        outcomes = self.outcomes_while_engines_fill(as_median, by_own_size)
         self.assertEqual(set(outcomes), {(False, False), (True, True)})
 
     def test_prompt_that_fits_no_engine_is_refused_at_once_without_a_retry_after(self) -> None:
