--- a/libs/serving/ruddersaddle_serving/engine_loads.py
+++ b/libs/serving/ruddersaddle_serving/engine_loads.py
@@ -67,14 +67,14 @@
 
 
 class EngineLoad:
-    """The requests at one engine, by their host and the number that the host gave them.
+    """The requests at one engine, by key: their host and the number that the host gave them.
 
     An engine admits higher priorities first, so a request waits for those of the same or a higher
     priority. Requests that this host gets no notices of are known as sums, by reporting host.
     """
 
     def __init__(self) -> None:
-        self.by_number: OrderedDict[tuple[str, int], SentRequest] = OrderedDict()
+        self.by_request_key: OrderedDict[tuple[str, int], SentRequest] = OrderedDict()
         self.run_s = INITIAL_RUN_S
         """Mean length of a run from its first event, in seconds; sets how fast slots become
         free."""
@@ -114,7 +114,7 @@
 
     def apply_sum(self, source: str, reported: LoadSum, includes_own: bool) -> None:
         """Apply a reported sum of requests from other hosts; it counts for `REPORT_TTL_S`."""
-        if includes_own and self.by_number:
+        if includes_own and self.by_request_key:
             reported = _subtract(reported, self.own_sum())
         self._remote_by_source[source] = (reported, clocks.now_s())
 
@@ -136,7 +136,7 @@
 
     def add(
         self,
-        number: tuple[str, int],
+        request_key: tuple[str, int],
         priority: int,
         prefill_s: float,
         tokens: int,
@@ -156,7 +156,7 @@
         observation = Observation(queued_prefill_s, fetch_s) if fits_memory else None
         own = max(0, tokens - sum(part.tokens for part in parts))
         now = clocks.now_s()
-        self.by_number[number] = SentRequest(
+        self.by_request_key[request_key] = SentRequest(
             priority, prefill_s, own, salt, parts, now, observation
         )
         self._prefill_by_priority[priority] += prefill_s
@@ -184,9 +184,9 @@
             del self._use_by_part[key]
             self._tokens_by_priority[use.priority] -= use.tokens
 
-    def record_first_event(self, number: tuple[str, int]) -> None:
+    def record_first_event(self, request_key: tuple[str, int]) -> None:
         """Record the first event of a request, which ends its prefill."""
-        sent = self.by_number.get(number)
+        sent = self.by_request_key.get(request_key)
         if sent is not None and sent.first_at is None:
             sent.first_at = clocks.now_s()
             if sent.observation is not None:
@@ -205,9 +205,9 @@
         weight = min(RUN_WEIGHT_MAX, RUN_WEIGHT * tokens / max(1.0, self._mean_tokens))
         self.memory_run_s += weight * (run_s - self.memory_run_s)
 
-    def end(self, number: tuple[str, int]) -> None:
+    def end(self, request_key: tuple[str, int]) -> None:
         """Record that a request ended."""
-        sent = self.by_number.get(number)
+        sent = self.by_request_key.get(request_key)
         if sent is None:
             return
         if sent.first_at is None:
@@ -215,7 +215,7 @@
         else:
             tokens = sent.tokens + sum(part.tokens for part in sent.parts)
             self._record_run(clocks.now_s() - sent.first_at, tokens)
-        del self.by_number[number]
+        del self.by_request_key[request_key]
         for part in sent.parts:
             self._release_part((sent.salt, part.id))
         self._tokens_by_priority[sent.priority] -= sent.tokens
@@ -241,11 +241,11 @@
 
     def _expire_old(self) -> None:
         oldest_at = clocks.now_s() - REQUEST_TTL_S
-        while self.by_number:
-            number, sent = next(iter(self.by_number.items()))
+        while self.by_request_key:
+            request_key, sent = next(iter(self.by_request_key.items()))
             if sent.sent_at > oldest_at:
                 return
-            self.end(number)
+            self.end(request_key)
 
 
 def _sum_rows(rows: list[tuple[int, ...]]) -> list[int]:
--- a/libs/serving/ruddersaddle_serving/liveness.py
+++ b/libs/serving/ruddersaddle_serving/liveness.py
@@ -48,11 +48,11 @@
         """When the latest request was sent that was overdue or got no connection."""
         self._reported_by_source: dict[str, tuple[float, float]] = {}
 
-    def record_sent(self, request: RequestKey, now: float, expected_s: float) -> None:
+    def record_sent(self, request_key: RequestKey, now: float, expected_s: float) -> None:
         """Record a request whose response is expected within `expected_s`."""
         if len(self._unanswered_by_request) < UNANSWERED_MAX:
             due_at = now + expected_s + SILENCE_TIMEOUT_S
-            self._unanswered_by_request[request] = Unanswered(now, due_at)
+            self._unanswered_by_request[request_key] = Unanswered(now, due_at)
 
     def record_response(self, at: float) -> None:
         """Record that something was received from the upstream at a time."""
@@ -67,20 +67,20 @@
             self.recovered_at = at
         self.last_response_at = at
         self._unanswered_by_request = {
-            request: sent
-            for request, sent in self._unanswered_by_request.items()
+            request_key: sent
+            for request_key, sent in self._unanswered_by_request.items()
             if sent.sent_at > at
         }
 
-    def record_connect_failure(self, request: RequestKey) -> None:
+    def record_connect_failure(self, request_key: RequestKey) -> None:
         """Record that no connection could be opened for a request."""
-        sent = self._unanswered_by_request.pop(request, None)
+        sent = self._unanswered_by_request.pop(request_key, None)
         if sent is not None:
             self._evidence_at = max(self._evidence_at, sent.sent_at)
 
-    def record_abandoned(self, request: RequestKey, now: float) -> None:
+    def record_abandoned(self, request_key: RequestKey, now: float) -> None:
         """Record that a request was cancelled or timed out before any response."""
-        sent = self._unanswered_by_request.pop(request, None)
+        sent = self._unanswered_by_request.pop(request_key, None)
         if sent is not None and now > sent.due_at:
             self._evidence_at = max(self._evidence_at, sent.sent_at)
 
--- a/libs/serving/ruddersaddle_serving/tests/test_placements.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_placements.py
@@ -81,7 +81,7 @@
         return tracker
 
     def fill(self, tracker: Tracker, tokens: int) -> None:
-        tracker.load.add(("host", len(tracker.load.by_number)), 1, 0.0, tokens)
+        tracker.load.add(("host", len(tracker.load.by_request_key)), 1, 0.0, tokens)
 
     def choose(self, tokens: int = 1000, may_refuse: bool = False) -> Choice | Failure:
         return self.placement.choose(make_request(tokens), POOL, set(), may_refuse)
@@ -240,7 +240,7 @@
         for _ in range(20):
             tracker = self.choose().tracker
             chosen.add(tracker.id)
-            tracker.load.add(("host", len(tracker.load.by_number)), 1, 0.01, 10)
+            tracker.load.add(("host", len(tracker.load.by_request_key)), 1, 0.01, 10)
         self.assertEqual(len(chosen), CANDIDATES_MAX)
 
     def test_part_in_high_demand_goes_beyond_its_candidates(self) -> None:
@@ -250,7 +250,7 @@
             choice = self.choose(may_refuse=True)
             self.assertIsInstance(choice, Choice)
             self.fill(choice.tracker, CAPACITY * 2)
-        loaded = [each for each in self.trackers.by_id.values() if each.load.by_number]
+        loaded = [each for each in self.trackers.by_id.values() if each.load.by_request_key]
         self.assertGreater(len(loaded), 20)
 
 
--- a/libs/serving/ruddersaddle_serving/trackers.py
+++ b/libs/serving/ruddersaddle_serving/trackers.py
@@ -223,19 +223,19 @@
         ):
             # A notice that an earlier instance was replaced would exclude this one for good.
             return
-        number = (host, notice.number)
+        request_key = (host, notice.number)
         now = clocks.now_s()
         match notice.progress:
             case Progress.SENT:
-                self.liveness.record_sent(number, now, notice.expected_s)
+                self.liveness.record_sent(request_key, now, notice.expected_s)
                 if notice.assignment is not None:
-                    self._add_load(number, notice.assignment)
+                    self._add_load(request_key, notice.assignment)
             case Progress.FIRST_EVENT:
                 self.liveness.record_response(now)
-                self.load.record_first_event(number)
+                self.load.record_first_event(request_key)
             case Progress.ENDED:
-                self._record_reachability(number, notice.reachability, now)
-                self.load.end(number)
+                self._record_reachability(request_key, notice.reachability, now)
+                self.load.end(request_key)
                 if notice.failed is not None:
                     self.record_outcome(notice.failed)
             case Progress.PROBE_ANSWERED:
@@ -245,10 +245,10 @@
             case Progress.SELF_REPORTED:
                 self.apply_limit(notice.limit, host, is_first_hand=True)
 
-    def _add_load(self, number: tuple[str, int], assignment: Assignment) -> None:
+    def _add_load(self, request_key: tuple[str, int], assignment: Assignment) -> None:
         self.memory.record_use(assignment.salt, assignment.parts)
         self.load.add(
-            number,
+            request_key,
             assignment.priority,
             assignment.prefill_s,
             assignment.tokens,
@@ -320,15 +320,15 @@
             )
 
     def _record_reachability(
-        self, number: tuple[str, int], reachability: Reachability, now: float
+        self, request_key: tuple[str, int], reachability: Reachability, now: float
     ) -> None:
         match reachability:
             case Reachability.RESPONDED:
                 self.liveness.record_response(now)
             case Reachability.NO_CONNECTION:
-                self.liveness.record_connect_failure(number)
+                self.liveness.record_connect_failure(request_key)
             case Reachability.NO_RESPONSE:
-                self.liveness.record_abandoned(number, now)
+                self.liveness.record_abandoned(request_key, now)
 
     def apply_entry(self, entry: UpstreamEntry) -> None:
         """Apply a newer entry; versions of weights never go back within one instance."""
