--- a/libs/serving/ruddersaddle_serving/tests/replay_loads.py
+++ b/libs/serving/ruddersaddle_serving/tests/replay_loads.py
@@ -55,7 +55,11 @@
 
 
 class Load(msgspec.Struct, frozen=True):
-    """A load pattern; times are in seconds from its start."""
+    """A load pattern; times are in seconds from its start.
+
+    An engine has `slots` and `memory_tokens`, prefills `tokens_s` tokens a second, and takes
+    `first_s` from the end of a prefill to the first event and `step_s` for each output token.
+    """
 
     kinds: tuple[Kind, ...]
     hosts: int = 40
