--- a/libs/serving/ruddersaddle_serving/tests/test_large_requests.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_large_requests.py
@@ -25,7 +25,7 @@
 URGENT = Kind("urgent", 20.0, 100, 200, 10, 0.4, 0, 1.0, 50)
 SIZED = Kind("sized", 20.0, 200, 2440, 60, 0.6, 2, 3.1, 50, spread=0.7)
 """Three engines can just prefill this rate."""
-THREE = Load(
+PREFILL_BOUND = Load(
     (SIZED, URGENT),
     hosts=3,
     halls=3,
@@ -53,7 +53,7 @@
 """Long prompts and answers that mostly consist of shared parts: they fill engines' memory."""
 MIDDLE = Kind("middle", 29.6, 540, 140, 290, 0.4, 1, 1.6, 591, spread=0.7, shared_spread=0.6)
 SHORT = Kind("urgent", 26.1, 1550, 400, 22, 0.4, 0, 1.9, 521, spread=0.7, shared_spread=0.6)
-FIVE = Load(
+MEMORY_BOUND = Load(
     (LONG, MIDDLE, SHORT),
     hosts=7,
     halls=3,
@@ -102,17 +102,17 @@
         for factor in (0.7, 1.2, 2.0, 3.0):
             for seed in (1, 2):
                 with self.subTest(factor=factor, seed=seed):
-                    self.replay(with_sized_scaled(THREE, factor, seed))
+                    self.replay(with_sized_scaled(PREFILL_BOUND, factor, seed))
 
     def test_engines_lost_under_load(self) -> None:
         for factor in (1.2, 2.0):
             with self.subTest(factor=factor):
-                load = msgspec.structs.replace(THREE, outage=(4.0, 12.0, 0.34))
+                load = msgspec.structs.replace(PREFILL_BOUND, outage=(4.0, 12.0, 0.34))
                 self.replay(with_sized_scaled(load, factor, 3))
 
     def test_many_hosts_with_few_large_requests_each(self) -> None:
         """Forty hosts know one another's requests as sums, about a tenth of a second late."""
-        load = msgspec.structs.replace(THREE, hosts=40, halls=4, engines=12, length_s=10.0)
+        load = msgspec.structs.replace(PREFILL_BOUND, hosts=40, halls=4, engines=12, length_s=10.0)
         for factor in (4.8, 8.0):
             with self.subTest(factor=factor):
                 self.replay(with_sized_scaled(load, factor, 4))
@@ -123,14 +123,14 @@
         If 0.6 of the requests are judged as median, 0.23 of the largest tenth are served, and 0.50
         of all requests of their kind.
         """
-        self.replay(scaled(FIVE, 3.0, 1))
+        self.replay(scaled(MEMORY_BOUND, 3.0, 1))
 
     def test_long_prompts_while_engines_are_lost(self) -> None:
         """If 0.6 of the requests are judged as median, 0.21 of the largest tenth are served.
 
         Of all requests of their kind, 0.46 are served then.
         """
-        self.replay(scaled(msgspec.structs.replace(FIVE, outage=(4.0, 20.0, 0.34)), 2.2, 2))
+        self.replay(scaled(msgspec.structs.replace(MEMORY_BOUND, outage=(4.0, 20.0, 0.34)), 2.2, 2))
 
 
 if __name__ == "__main__":
