--- a/libs/daemon/ruddersaddle/keyed_calls.py
+++ b/libs/daemon/ruddersaddle/keyed_calls.py
@@ -78,7 +78,7 @@
             detail = "the key's date is in the future"
             return Failure(Code.KEY_NOT_DATED, Step.CLAIM, "caller", detail, Ran.UNKNOWN)
         if keyed.key in self.answers.by_key:
-            return self._join_running(keyed)
+            return self._wait_for_answer(keyed)
         owner = self.claims.owner_of(keyed.key)
         if owner is not None:
             return self._ask_owner(keyed, owner, ask)
@@ -91,7 +91,7 @@
         known = follower.reached_end and self.claims.has_full_history(keyed.dated)
         return known and follower.reachable and not self.appender.down
 
-    def _join_running(self, keyed: KeyedCall) -> Answer:
+    def _wait_for_answer(self, keyed: KeyedCall) -> Answer:
         answer = self.answers.join(keyed.key, keyed.call, keyed.remaining_s())
         return _still_running() if answer is None else answer
 
--- a/libs/daemon/ruddersaddle/publishers.py
+++ b/libs/daemon/ruddersaddle/publishers.py
@@ -82,8 +82,8 @@
             reason = f"not read back within {wait_s:g} s; see `config show --change {change.id}`"
             return Published(PublishOutcome.UNKNOWN, change.id, None, reason)
         accepted = result.outcome is Outcome.ACCEPTED
-        word = PublishOutcome.ACCEPTED if accepted else PublishOutcome.REJECTED
-        return Published(word, change.id, result.position, result.reason)
+        outcome = PublishOutcome.ACCEPTED if accepted else PublishOutcome.REJECTED
+        return Published(outcome, change.id, result.position, result.reason)
 
     def _wait_for_result(self, change: RecordId, deadline: float) -> RecordResult | None:
         while True:
