--- a/libs/standins/ruddersaddle_standins/tests/test_configuration_force.py
+++ b/libs/standins/ruddersaddle_standins/tests/test_configuration_force.py
@@ -111,8 +111,8 @@
         # The request had been sent, so the log executes the append once it resumes.
         wait_until(lambda: self.weight() == 23, "the change lands")
         publisher.read()
-        fate = publisher.configuration.result_by_id[result.change]
-        self.assertIs(fate.outcome, Outcome.ACCEPTED)
+        record_result = publisher.configuration.result_by_id[result.change]
+        self.assertIs(record_result.outcome, Outcome.ACCEPTED)
         self.wait_until_consistent()
 
     def test_publisher_killed_after_its_append_leaves_a_complete_change(self):
@@ -176,7 +176,9 @@
             self.fleet.publish(Workspace(WorkspaceId(f"lost-{number}"), weight=2))
             time.sleep(0.05)
         self.wait_until_consistent()
-        wait_until(lambda: self.publisher().configuration.complete, "a snapshot covers the rest")
+        wait_until(
+            lambda: self.publisher().configuration.complete, "a snapshot covers the removed records"
+        )
         names = self.fleet.host_names()
         for name in names:
             self.fleet.by_name[name].kill()
--- a/libs/standins/ruddersaddle_standins/tests/test_kept_contexts.py
+++ b/libs/standins/ruddersaddle_standins/tests/test_kept_contexts.py
@@ -24,7 +24,7 @@
         self.fleet.start()
         self.addCleanup(self.fleet.stop)
         self.prompt_all("host-1")
-        wait_until(lambda: self.count("contexts_kept_blocks") >= len(TEXTS) * 8, "contexts kept")
+        wait_until(lambda: self.count("contexts_kept_blocks") >= len(TEXTS) * 8, "contexts stored")
         self.drop_caches()
 
     def prompt(self, text: str, host: str) -> PromptResult:
