--- a/libs/serving/ruddersaddle_serving/caller_pools.py
+++ b/libs/serving/ruddersaddle_serving/caller_pools.py
@@ -36,7 +36,7 @@
     def mark_unread_as_busy(self) -> None:
         """Mark idle connections with unread bytes as busy, so that the server does not close them.
 
-        The server closes idle connections when it stops. After a pause of the process this closed
+        The server closes idle connections when it stops. After a stall of the process this closed
         connections with unread requests (107 of 250, up to 598 ms after the last byte).
         """
         for connection in self._by_address.values():
--- a/libs/serving/ruddersaddle_serving/caller_watches.py
+++ b/libs/serving/ruddersaddle_serving/caller_watches.py
@@ -26,7 +26,7 @@
     def has_left(self) -> bool:
         """Return whether the caller has closed the connection, without waiting.
 
-        After a freeze, a host reads requests of callers that gave up long before; these must not
+        After a stall, a host reads requests of callers that gave up long before; these must not
         reach an upstream.
         """
         raw = getattr(self.connection, "fd", self.connection)
--- a/libs/serving/ruddersaddle_serving/crash_records.py
+++ b/libs/serving/ruddersaddle_serving/crash_records.py
@@ -26,7 +26,7 @@
 
 CRASHES_MAX = 3
 """Crashes after which a request is refused. Fewer would refuse bystanders: of 158 requests that
-were running on engines as these crashed, 43 were in two or more crashes, and one was the cause."""
+were cut by crashes of engines, 43 were cut by two or more, and only one was the cause."""
 SHARED_MIN = 2
 """Crashes from which on a record is written to the store. Most suspects are in a single crash; a
 request of which several hosts know one crash each is written after its next crash."""
--- a/libs/serving/ruddersaddle_serving/crash_watches.py
+++ b/libs/serving/ruddersaddle_serving/crash_watches.py
@@ -63,8 +63,8 @@
     def check(self, fingerprint: Fingerprint, pool: PoolId) -> Failure | None:
         """Refuse a request that has crashed too many upstreams.
 
-        Each further attempt costs one more upstream with all its runs; one request that was not
-        refused crashed 16 of them.
+        Each further attempt costs one more upstream with all its runs: without this check, one
+        request crashed 16 upstreams.
         """
         now_ms = clocks.unix_ms()
         record = self.records.find_refusal(fingerprint, now_ms)
@@ -82,7 +82,8 @@
     def wait_for_outcome(self, fingerprint: Fingerprint) -> None:
         """Wait for the outcome of probing, if one more crash would get the request refused.
 
-        Probing an upstream takes some 0.1 s; a second attempt in that time crashed a fourth one.
+        Probing takes some 0.1 s; without the wait, an attempt in that time crashed a fourth
+        upstream.
         """
         until = clocks.now_s() + OUTCOME_WAIT_S
         while self._may_refuse(fingerprint) and clocks.now_s() < until:
--- a/libs/serving/ruddersaddle_serving/deferred_timeouts.py
+++ b/libs/serving/ruddersaddle_serving/deferred_timeouts.py
@@ -1,8 +1,8 @@
 """Timeouts that are deferred until sockets have been polled.
 
-The event loop fires all due timers before it polls its sockets. After a freeze of the process, or a
+The event loop fires all due timers before it polls its sockets. After a stall of the process, or a
 long step of another task, requests and answers that had arrived in time would be dropped by their
-timers: after a freeze of 1.6 s, 78 of 80 requests, 80 of 80 heads and 80 of 80 answers were.
+timers: after a stall of 1.6 s, 78 of 80 requests, 80 of 80 heads and 80 of 80 answers were.
 """
 
 from typing import Any
--- a/libs/serving/ruddersaddle_serving/entry_hosts.py
+++ b/libs/serving/ruddersaddle_serving/entry_hosts.py
@@ -76,7 +76,8 @@
 """New connections are accepted for this long after the signal to stop: the load balancer checks
 readiness each second and takes a host out after two failures."""
 GRACE_MARGIN_S = 0.7
-"""A host exits this long before the platform would kill it; both count from the signal."""
+"""A host exits this long before the platform would kill it, which is `requests.grace_s` after the
+signal."""
 DRAIN_POLL_S = 0.05
 STOP_CHECK_S = 0.25
 """Interval of checks for a planned stop; readiness ends at once, with the signal itself."""
--- a/libs/serving/ruddersaddle_serving/explanations.py
+++ b/libs/serving/ruddersaddle_serving/explanations.py
@@ -19,7 +19,7 @@
     """Return the log lines that concern a request, ordered by time and formatted as text.
 
     A line may have any prefix before its JSON, since log collectors add one. If no line tells how
-    the request ended, possible reasons follow why that line is missing.
+    the request ended, possible reasons for the missing line follow.
     """
     records = [record for record in map(_parse, lines) if record]
     records.sort(key=lambda record: str(record.get("time", "")))
@@ -49,7 +49,7 @@
 
 
 def _find_cut(record: Record, request: str) -> str | None:
-    """Return what the last line of a host says of a request that its end cut, or None."""
+    """Return the item on a request in a host's list of requests that its end cut, or None."""
     for cut in record.get("requests", ()):
         if str(cut).partition(" ")[0] == request:
             return str(cut)
--- a/libs/serving/ruddersaddle_serving/forwarders.py
+++ b/libs/serving/ruddersaddle_serving/forwarders.py
@@ -59,7 +59,12 @@
 
 
 class RequestTrace:
-    """How a request was forwarded, as logged when it ends."""
+    """How a request was forwarded, as logged when it ends.
+
+    `attempts` has the outcome of each attempt. The fields about the choice of an upstream are those
+    of the last attempt, except that `fetched_parts` and `saved_parts` are of the last transfer.
+    `first_s` is the time from the request's start to its first event, or to its complete answer.
+    """
 
     def __init__(self) -> None:
         self.attempts: list[str] = []
--- a/libs/serving/ruddersaddle_serving/fronts.py
+++ b/libs/serving/ruddersaddle_serving/fronts.py
@@ -265,7 +265,8 @@
 
     def _start(self, status: int, headers: list[tuple[str, str]]) -> None:
         self.status = status
-        # A body that was not asked for may still arrive; it would be taken for the next request.
+        # A caller that was not sent "100 Continue" may still send its body, which would be taken
+        # for the next request.
         if self.front.draining or self.environ["eventlet.input"].should_send_hundred_continue:
             self.environ["caller.protocol"].close_connection = 1
         self.start(f"{status} {responses.get(status, 'Unknown')}", headers)
--- a/libs/serving/ruddersaddle_serving/host_lists.py
+++ b/libs/serving/ruddersaddle_serving/host_lists.py
@@ -29,7 +29,8 @@
 READ_PAUSE_S = 12.0
 """Pause of a reader between reads of the list; a new host also becomes known by its requests."""
 STARTUP_S = 15.0
-"""Time after the start during which a host that finds no other on the list rereads it soon."""
+"""Time after the start during which a host that finds no other on the list rereads it about every
+`POLL_S`."""
 RESTORE_STAGGER_S = 1.0
 """Delay from one reader to the next before they rewrite lost hosts after a restore of the store;
 one call is enough."""
--- a/libs/serving/ruddersaddle_serving/ports.py
+++ b/libs/serving/ruddersaddle_serving/ports.py
@@ -147,7 +147,11 @@
 
 
 class AnswerHead(msgspec.Struct, frozen=True):
-    """The parsed headers of an upstream's answer."""
+    """The parsed headers of an upstream's answer.
+
+    Success answers carry a receipt; one without it is invalid. `version` is that of the upstream's
+    weights. `encoded` tells whether the body has a Content-Encoding.
+    """
 
     status: int
     request: RequestId | None
@@ -181,7 +185,10 @@
 
 
 class EngineReport(msgspec.Struct, frozen=True):
-    """An engine's report of its own state, some hundred milliseconds old."""
+    """An engine's report of its own state, some hundred milliseconds old.
+
+    `sequence` is sent back in the next order to the engine.
+    """
 
     version_by_model: dict[ModelId, int]
     loading: bool
@@ -191,7 +198,11 @@
 
 
 class Order(msgspec.Struct, frozen=True):
-    """An order to load weights; `fence` is a fencing token that rises with each lease holder."""
+    """An order to load weights.
+
+    `fence` is a fencing token that rises with each lease holder; `sequence` is that of the engine's
+    report on which the order is based.
+    """
 
     upstream: UpstreamId
     model: ModelId
--- a/libs/serving/ruddersaddle_serving/publications.py
+++ b/libs/serving/ruddersaddle_serving/publications.py
@@ -16,8 +16,8 @@
 
 START_GRACE_S = 2.0
 """How long a host that has just started uses weights that were replaced before its start. The bound
-on their use may have passed already; a host counts as in touch with the platform from 3 s after
-its start."""
+on their use may have passed already; the platform counts a host as connected from 3 s after its
+start."""
 
 
 class Naming(msgspec.Struct, frozen=True):
--- a/libs/serving/ruddersaddle_serving/socket_liveness.py
+++ b/libs/serving/ruddersaddle_serving/socket_liveness.py
@@ -8,7 +8,8 @@
 
 UNACKNOWLEDGED_MS = 3000
 """TCP closes a connection if sent bytes are not acknowledged for this long (TCP_USER_TIMEOUT). The
-platform counts a host as out of touch after the same time, so that shorter cuts are survived."""
+platform counts a host as disconnected after the same time, so connections survive shorter losses of
+the network."""
 CALLER_UNACKNOWLEDGED_MS = 60_000
 """The same for callers, who may read slowly. A full window also counts as unacknowledged until a
 complete segment of up to 64 KB fits into it: at 10 s, callers with buffers of 16 KB that read
--- a/libs/serving/ruddersaddle_serving/store_followers.py
+++ b/libs/serving/ruddersaddle_serving/store_followers.py
@@ -229,7 +229,8 @@
             if entry is not None:
                 put(entry)
             elif record.value:
-                # A complete list omits it as well; its upstream rewrites it with each heartbeat.
+                # An entry that can't be decoded is missing from a complete list, too. Its upstream
+                # rewrites it with each heartbeat.
                 self.upstreams.drop(UpstreamId(record.key))
             else:
                 self.upstreams.remove(UpstreamId(record.key))
--- a/libs/serving/ruddersaddle_serving/tests/test_weight_rollouts.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_weight_rollouts.py
@@ -102,7 +102,7 @@
         )
 
     def test_marks_of_a_frozen_lease_holder_do_not_block_its_successor(self) -> None:
-        """The marks of the frozen holder kept all other hosts from giving orders for 7 s."""
+        """`Loading` messages of the suspended holder kept all others from giving orders for 7 s."""
         rollouts = self.make(4, set())
         self.lease.is_holder = False
         for tracker in rollouts._engines_of(MODEL):
@@ -135,7 +135,7 @@
 
 
 class TakeOverTest(unittest.TestCase):
-    """The lease holder freezes right after it acquired the lease."""
+    """The lease holder is suspended right after it acquired the lease."""
 
     def test_second_in_line_takes_over_within_half_of_the_bound(self) -> None:
         now = 50.0
--- a/libs/serving/ruddersaddle_serving/weight_rollouts.py
+++ b/libs/serving/ruddersaddle_serving/weight_rollouts.py
@@ -33,8 +33,9 @@
 """Largest share of a model's engines that load at the same time; the others carry the traffic.
 Where the weights store serves fewer concurrent loads, each takes longer, up to `LOAD_MAX_S`."""
 LOAD_S = 2.5
-"""Assumed time for which an engine is out of rotation: the known kinds load in 0.9 to 1.3 s when
-few load at once; the rest covers the lag of the engine's report and a busy weights store."""
+"""Assumed time for which an engine is out of rotation: known kinds of engines load in 0.9 to
+1.3 s when few load at once; the rest covers the lag of the engine's report and a busy weights
+store."""
 BOUND_SHARE = 0.75
 """Share of the bound on old weights within which all engines should be updated; the rest is a
 reserve for lost orders and engines that join late."""
@@ -152,8 +153,9 @@
     def _is_loading_elsewhere(self, tracker: Tracker) -> bool:
         """Return whether another host is updating an engine.
 
-        The marks of another host are ignored once this host holds the lease, so that the other can
-        give no more orders, or once there was no progress for a while: it may be frozen or gone.
+        `Loading` messages of another host are ignored once this host holds the lease, so that the
+        other can give no more orders, or once there was no progress for a while: the other may be
+        suspended or gone.
         """
         is_stalled = clocks.now_s() - self._progressed_at > STALLED_S
         return tracker.is_avoided and not self.lease.is_holder and not is_stalled
--- a/libs/state/ruddersaddle_state/claims.py
+++ b/libs/state/ruddersaddle_state/claims.py
@@ -1,7 +1,7 @@
 """The fold of the claims stream: decides which attempt may run a call that must run at most once.
 
-The rule is compare-and-set on what the caller was told: a claim carries the retry token of its
-caller's last `not_run` answer, and is rejected if a later void was accepted. A void that is read
+The rule is compare-and-set on the caller's retry token: a claim carries the token of its caller's
+last `not_run` answer, and is rejected if a later void was accepted. A void that is read
 back as accepted therefore stops every earlier attempt, wherever it is delayed (the anti-suspension
 of Try-Confirm/Cancel). Keys older than `memory_s` by the log's own time are refused for good.
 """
@@ -16,7 +16,7 @@
 
 
 class Rule(Enum):
-    """Rules for accepting a claim of a free key; the model checks all of them.
+    """Rules for accepting a claim of a free key; the model checker covers all of them.
 
     `FIRST` accepts the first claim. `READ` compares with the position up to which the claiming
     host has read the stream. `FINAL` never frees a key after a void, so that not even a retry can
--- a/libs/state/ruddersaddle_state/entries.py
+++ b/libs/state/ruddersaddle_state/entries.py
@@ -23,7 +23,7 @@
 
 
 class Workspace(msgspec.Struct, frozen=True, tag="workspace", forbid_unknown_fields=True):
-    """A customer: digests of its callers' keys, its weight in queues and its concurrency limit."""
+    """A tenant: digests of its callers' keys, its weight in queues and its concurrency limit."""
 
     id: WorkspaceId
     key_digests: tuple[str, ...] = ()
--- a/libs/state/ruddersaddle_state/records.py
+++ b/libs/state/ruddersaddle_state/records.py
@@ -11,7 +11,7 @@
 from ruddersaddle_state.entries import EntryKey, Value
 
 BATCH_MAX = 1000
-"""Most records in a batch; the index in a position can count 1024."""
+"""Most records in a batch; a position has room for 1024 indexes."""
 
 
 class Stream(Enum):
