--- a/libs/serving/ruddersaddle_serving/crash_shares.py
+++ b/libs/serving/ruddersaddle_serving/crash_shares.py
@@ -217,7 +217,7 @@
             return
         delay_s = BACKUP_WRITE_DELAY_S * self.hosts.reader_rank()
         for record in self.records.shared():
-            if self._store_lacks(record.fingerprint):
+            if self._needs_write(record.fingerprint):
                 self._write_soon(record.fingerprint, delay_s)
 
     def apply_record(self, record: Record) -> None:
@@ -239,8 +239,10 @@
         """Merge the records of others, and write those to which this host adds crashes."""
         for received in records:
             merged = self.records.merge(received, clocks.unix_ms())
-            is_more = merged.instances != received.instances and len(merged.instances) >= SHARED_MIN
-            if is_more and self._may_write(merged.fingerprint):
+            adds_crashes = (
+                merged.instances != received.instances and len(merged.instances) >= SHARED_MIN
+            )
+            if adds_crashes and self._may_write(merged.fingerprint):
                 self._write_soon(merged.fingerprint, BACKUP_WRITE_DELAY_S)
 
     def apply_cleared(self, cleared: tuple[Fingerprint, ...]) -> None:
@@ -257,15 +259,15 @@
         eventlet.spawn_after(delay_s, self._mark_dirty, fingerprint)
 
     def _mark_dirty(self, fingerprint: Fingerprint) -> None:
-        if not self._store_lacks(fingerprint):
+        if not self._needs_write(fingerprint):
             return
         self._dirty.add(fingerprint)
         if not self._is_writing:
             self._is_writing = True
             eventlet.spawn(self._write)
 
-    def _store_lacks(self, fingerprint: Fingerprint) -> bool:
-        """Return whether the store's record of a request is missing or out of date."""
+    def _needs_write(self, fingerprint: Fingerprint) -> bool:
+        """Return whether the store's record of a request must be added, changed or deleted."""
         stored = self._stored.get(fingerprint)
         known = self.records.by_fingerprint.get(fingerprint)
         if known is None or len(known.instances) < SHARED_MIN:
@@ -278,7 +280,7 @@
         """Write until the store is up to date; a write that fails is tried again."""
         try:
             while self._dirty:
-                self._dirty = {each for each in self._dirty if self._store_lacks(each)}
+                self._dirty = {each for each in self._dirty if self._needs_write(each)}
                 batch = list(self._dirty)[:CRASH_RECORDS_MAX]
                 if batch:
                     self._write_batch(batch)
