--- a/libs/serving/ruddersaddle_serving/neighbours.py
+++ b/libs/serving/ruddersaddle_serving/neighbours.py
@@ -288,7 +288,7 @@
         upstreams = self.upstreams
         table = publications.table
         is_newer = table is not None and publications.version > request.version
-        has_entries = request.entries_revision == upstreams.revision or not upstreams.complete
+        omits_entries = request.entries_revision == upstreams.revision or not upstreams.complete
         versions = publications.version_by_model
         records = self.crashes.records
         knows_crashes = request.crashes_revision == records.revision
@@ -299,9 +299,9 @@
             known_era=self.store.eras.newest,
             named=tuple(ModelVersion(model, each) for model, each in versions.items()),
             published=table.published if is_newer else None,
-            entries=None if has_entries else tuple(upstreams.by_id.values()),
-            gone=() if has_entries else upstreams.recently_gone(),
-            lapsing=() if has_entries else upstreams.lapsing,
+            entries=None if omits_entries else tuple(upstreams.by_id.values()),
+            gone=() if omits_entries else upstreams.recently_gone(),
+            lapsing=() if omits_entries else upstreams.lapsing,
             entries_revision=upstreams.revision if upstreams.complete else -1,
             entries_age_s=upstreams.age_s,
             hosts={**hosts.by_id, hosts.own_id: hosts.own}
