--- a/libs/serving/ruddersaddle_serving/upstream_lists.py
+++ b/libs/serving/ruddersaddle_serving/upstream_lists.py
@@ -196,8 +196,8 @@
         """Record that an entry is missing: its upstream left, or it lapsed in an outage."""
         if upstream not in self.by_id:
             return
-        is_away = self._unanswered_at is not None
-        until = float("inf") if is_away else self._grace_until
+        is_outage = self._unanswered_at is not None
+        until = float("inf") if is_outage else self._grace_until
         if upstream in self._written_since_outage or clocks.now_s() >= until:
             self.drop(upstream)
         elif upstream not in self._lapse_at_by_id:
