--- a/libs/upstreams/ruddersaddle_upstreams/links.py
+++ b/libs/upstreams/ruddersaddle_upstreams/links.py
@@ -26,7 +26,7 @@
         self.queued_bytes = 0
         self._failed_at = -FAILURE_HOLD_S
         self._allowance = capacity_bytes_s * BACKGROUND_SHARE * BURST_S
-        self._allowed_at = time.monotonic()
+        self._refilled_at = time.monotonic()
 
     @property
     def is_up(self) -> bool:
@@ -53,9 +53,9 @@
         """Reserve `size` bytes of the background budget if it has as many (token bucket)."""
         now = time.monotonic()
         refill = self.rate_bytes_s * BACKGROUND_SHARE
-        self._allowance += (now - self._allowed_at) * refill
+        self._allowance += (now - self._refilled_at) * refill
         self._allowance = min(self._allowance, max(refill * BURST_S, size))
-        self._allowed_at = now
+        self._refilled_at = now
         if self._allowance < size:
             return False
         self._allowance -= size
