--- a/libs/serving/ruddersaddle_serving/probes.py
+++ b/libs/serving/ruddersaddle_serving/probes.py
@@ -118,5 +118,5 @@
         self._notify(tracker, Progress.PROBE_ANSWERED)
 
     def _notify(self, tracker: Tracker, progress: Progress) -> None:
-        start = tracker.entry.instance
-        self.notify(Notice(start.id, 0, progress, born_ms=start.born_ms))
+        instance = tracker.entry.instance
+        self.notify(Notice(instance.id, 0, progress, born_ms=instance.born_ms))
--- a/libs/serving/ruddersaddle_serving/tests/lease_models.py
+++ b/libs/serving/ruddersaddle_serving/tests/lease_models.py
@@ -42,7 +42,7 @@
 class Delivery(msgspec.Struct, frozen=True):
     """Outcome of an append: whether it is applied now or later, and whether it is answered."""
 
-    is_done: bool
+    is_applied: bool
     is_answered: bool
 
 
@@ -117,7 +117,7 @@
 
     def append(self, topic: Topic, value: bytes, at: StorePosition) -> AppendResult | Failure:
         self.appended = True
-        if not self.delivery.is_done:
+        if not self.delivery.is_applied:
             self.late = Late(value, at.offset)
             return _unavailable()
         matches = at.offset == len(self.log)
