--- a/libs/serving/ruddersaddle_serving/forwarders.py
+++ b/libs/serving/ruddersaddle_serving/forwarders.py
@@ -91,10 +91,10 @@
         budget: RetryBudget,
         key_age_max_s: float,
         broadcast_notice: Callable[[Notice], None],
-        crashes: CrashWatch,
+        crash_watch: CrashWatch,
     ) -> None:
         self.broadcast_notice = broadcast_notice
-        self.crashes = crashes
+        self.crash_watch = crash_watch
         self.placement = placement
         self.wire = wire
         self.publications = publications
@@ -206,7 +206,7 @@
 
     def _choose(self) -> Choice | Failure:
         """Return the upstream for the next attempt."""
-        self.forwarder.crashes.wait_for_outcome(self.request.fingerprint)
+        self.forwarder.crash_watch.wait_for_outcome(self.request.fingerprint)
         refusal = self._check_crashes()
         if refusal is not None:
             return refusal
@@ -216,7 +216,7 @@
 
     def _check_crashes(self) -> Failure | None:
         """Refuse a request that has crashed upstreams."""
-        return self.forwarder.crashes.check(self.request.fingerprint, self.pool)
+        return self.forwarder.crash_watch.check(self.request.fingerprint, self.pool)
 
     def _send(self) -> AnswerHead | Failure:
         refusal = self.forwarder.check_key_age(self.request) or self._check_crashes()
@@ -256,7 +256,7 @@
             return body
         failed = head.status >= 500
         if head.status < 300:
-            self.forwarder.crashes.record_complete(self.request.fingerprint)
+            self.forwarder.crash_watch.record_complete(self.request.fingerprint)
         self._end_attempt(failed, f"{upstream} status {head.status}")
         if failed and self._may_repeat():
             again = self._retry_after_error()
@@ -310,7 +310,7 @@
                 continue
             if not data:
                 rest = self.splitter.flush()
-                self.forwarder.crashes.record_complete(self.request.fingerprint)
+                self.forwarder.crash_watch.record_complete(self.request.fingerprint)
                 self._end_attempt(False, "whole")
                 if rest:
                     yield rest
@@ -353,7 +353,7 @@
     def _end_attempt(self, failed: bool | None, outcome: str) -> None:
         self.trace.attempts.append(outcome)
         if self.attempt.is_broken:
-            self.forwarder.crashes.record_broken(
+            self.forwarder.crash_watch.record_broken(
                 self.attempt.choice.tracker, self.request.fingerprint
             )
         self.attempt.finish(failed)
