--- a/libs/serving/ruddersaddle_serving/tests/test_fence_leases.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_fence_leases.py
@@ -121,7 +121,7 @@
         self.assertTrue(self.first.acquire())
         self.assertEqual((self.first.fence, len(self.store.values)), (0, 1))
 
-    def test_nothing_is_ordered_while_the_log_is_away(self) -> None:
+    def test_nothing_is_ordered_while_the_log_is_unavailable(self) -> None:
         self.store.down = True
         self.assertFalse(self.first.acquire())
         self.assertFalse(self.first.may_order)
@@ -133,7 +133,7 @@
             self.now += 0.01
         return self.now - began
 
-    def test_fences_rise_where_the_store_gives_offsets_out_again(self) -> None:
+    def test_fences_rise_though_the_store_assigns_offsets_again(self) -> None:
         """With offsets alone as fences, two holders got the same fence or the later a lower one."""
         for _ in range(3):
             self.wait_for(self.first)
@@ -155,7 +155,7 @@
             self.now += 0.01
         self.assertGreater(self.now - last_order, LEASE_S)
 
-    def test_host_that_has_just_started_waits_a_whole_lease_in_an_era_that_it_can_not_date(
+    def test_host_that_has_just_started_waits_a_whole_lease_in_an_era_of_unknown_start(
         self,
     ) -> None:
         self.store.restore(0)
@@ -180,7 +180,7 @@
         self.assertFalse(self.first.is_holder)
         self.assertGreaterEqual(self.wait_for(self.first), LEASE_S)
 
-    def test_append_of_an_earlier_era_that_is_done_late_ends_no_other_turn_early(self) -> None:
+    def test_append_of_an_earlier_era_that_is_applied_late_ends_no_other_term_early(self) -> None:
         """The late record follows that of another holder, which may still give orders."""
         self.first.acquire()
         late = self.store.values[0]
--- a/libs/serving/ruddersaddle_serving/tests/test_weight_rollouts.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_weight_rollouts.py
@@ -101,7 +101,7 @@
             sorted(order.upstream for order in self.engines.orders), ["e-1", "e-2", "e-3"]
         )
 
-    def test_marks_of_a_frozen_lease_holder_do_not_block_its_successor(self) -> None:
+    def test_loading_messages_of_a_suspended_holder_do_not_block_its_successor(self) -> None:
         """`Loading` messages of the suspended holder kept all others from giving orders for 7 s."""
         rollouts = self.make(4, set())
         self.lease.is_holder = False
