--- a/libs/serving/ruddersaddle_serving/tests/garbage_churns.py
+++ b/libs/serving/ruddersaddle_serving/tests/garbage_churns.py
@@ -22,7 +22,7 @@
 """Returns the id of the OS thread; the patched function returns that of the green thread."""
 
 
-class Litter:
+class CyclicGarbage:
     """Garbage that only the cyclic collector finds, since it refers to itself."""
 
     def __init__(self) -> None:
@@ -37,10 +37,10 @@
             logger.info("Ended by the collector.")
 
 
-def make_litter() -> None:
+def create_garbage() -> None:
     """Create garbage and write log lines continuously."""
     while True:
-        Litter()
+        CyclicGarbage()
         logger.info("A line.")
         eventlet.sleep(0)
 
@@ -54,7 +54,7 @@
     limit_threads()
     start_collecting()
     sys.setswitchinterval(SWITCH_S)
-    eventlet.spawn(make_litter)
+    eventlet.spawn(create_garbage)
     churn(ports)
     print(f"done, {len(foreign)} elsewhere", flush=True)
 
--- a/libs/serving/ruddersaddle_serving/tests/test_caller_listeners.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_caller_listeners.py
@@ -31,7 +31,7 @@
     def setUp(self) -> None:
         self.plain = eventlet.listen(("127.0.0.1", 0))
         self.pool = eventlet.GreenPool(2)
-        self.taken: list[GreenSocket] = []
+        self.accepted: list[GreenSocket] = []
         self.listener = ResilientListener(self.plain, self.pool)
         self.addCleanup(self.listener.close)
 
@@ -42,11 +42,11 @@
 
     def accept(self) -> Any:
         with eventlet.Timeout(WAIT_S):
-            taken, _ = self.listener.accept()
-        self.addCleanup(taken.close)
+            accepted, _ = self.listener.accept()
+        self.addCleanup(accepted.close)
         # A green socket closes its descriptor when it is collected, so it is referenced.
-        self.taken.append(taken)
-        return taken
+        self.accepted.append(accepted)
+        return accepted
 
     def fail_first(self, numbers: tuple[int, ...]) -> Any:
         """Let the first calls of accept raise these errors."""
@@ -124,11 +124,11 @@
 
     def test_accepted_sockets_are_plain_green_sockets(self) -> None:
         caller = self.call()
-        taken = self.accept()
-        self.assertIs(type(taken), GreenSocket)
-        taken.sendall(b"x")
+        accepted = self.accept()
+        self.assertIs(type(accepted), GreenSocket)
+        accepted.sendall(b"x")
         self.assertEqual(caller.recv(1), b"x")
-        self.assertEqual(taken.family, socket.AF_INET)
+        self.assertEqual(accepted.family, socket.AF_INET)
 
 
 if __name__ == "__main__":
--- a/libs/serving/ruddersaddle_serving/tests/test_forwarders.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_forwarders.py
@@ -72,7 +72,7 @@
         return forwarding.attempt.finish.call_args.args[0] is True
 
     def test_upstream_is_unresponsive_only_long_after_its_predicted_answer(self) -> None:
-        """A large prompt that takes four targets to read counted against its upstream."""
+        """A prompt that took four times the latency target counted against its upstream."""
         self.assertTrue(self.is_unresponsive_after(3.2 * TARGET_S, predicted_s=0.2))
         self.assertFalse(self.is_unresponsive_after(3.2 * TARGET_S, predicted_s=4.0 * TARGET_S))
         self.assertTrue(self.is_unresponsive_after(13.0 * TARGET_S, predicted_s=4.0 * TARGET_S))
--- a/libs/serving/ruddersaddle_serving/tests/test_host_lists.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_host_lists.py
@@ -40,8 +40,8 @@
     def __init__(self, by_address: dict[str, Neighbours]) -> None:
         self.by_address = by_address
 
-    def ask(self, address: str, question: NeighbourMessage, timeout_s: float) -> NeighbourMessage:
-        return self.by_address[address]._handle(question)
+    def ask(self, address: str, message: NeighbourMessage, timeout_s: float) -> NeighbourMessage:
+        return self.by_address[address]._handle(message)
 
     def keep_only(self, addresses: set[str]) -> None:
         pass
--- a/libs/serving/ruddersaddle_serving/tests/test_weight_rollouts.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_weight_rollouts.py
@@ -145,7 +145,7 @@
             for store in stores:
                 store.eras.learn(log.era)
             now = 100.0
-            self.assertTrue(FenceLease(stores[0], Incarnation("frozen"), 3.0).acquire())
+            self.assertTrue(FenceLease(stores[0], Incarnation("suspended"), 3.0).acquire())
             lease = FenceLease(stores[1], Incarnation("second"), 3.0)
             hosts = rank_names(MODEL, ["a", "b"])
             neighbours = mock.Mock(load_message_at=now, live_hosts=hosts, address=hosts[1])
