--- a/libs/serving/ruddersaddle_serving/tests/test_weight_rollouts.py
+++ b/libs/serving/ruddersaddle_serving/tests/test_weight_rollouts.py
@@ -101,8 +101,8 @@
             sorted(order.upstream for order in self.engines.orders), ["e-1", "e-2", "e-3"]
         )
 
-    def test_marks_of_a_frozen_lease_holder_do_not_block_its_successor(self) -> None:
-        """The marks of the frozen holder kept all other hosts from giving orders for 7 s."""
+    def test_loading_messages_of_a_suspended_holder_do_not_block_its_successor(self) -> None:
+        """`Loading` messages of the suspended holder kept all others from giving orders for 7 s."""
         rollouts = self.make(4, set())
         self.lease.is_holder = False
         for tracker in rollouts._engines_of(MODEL):
@@ -135,7 +135,7 @@
 
 
 class TakeOverTest(unittest.TestCase):
-    """The lease holder freezes right after it acquired the lease."""
+    """The lease holder is suspended right after it acquired the lease."""
 
     def test_second_in_line_takes_over_within_half_of_the_bound(self) -> None:
         now = 50.0
@@ -145,7 +145,7 @@
             for store in stores:
                 store.eras.learn(log.era)
             now = 100.0
-            self.assertTrue(FenceLease(stores[0], Incarnation("frozen"), 3.0).acquire())
+            self.assertTrue(FenceLease(stores[0], Incarnation("suspended"), 3.0).acquire())
             lease = FenceLease(stores[1], Incarnation("second"), 3.0)
             hosts = rank_names(MODEL, ["a", "b"])
             neighbours = mock.Mock(load_message_at=now, live_hosts=hosts, address=hosts[1])
