--- a/libs/base/ruddersaddle_base/clocks.py
+++ b/libs/base/ruddersaddle_base/clocks.py
@@ -6,10 +6,11 @@
 
 
 def now_s() -> float:
-    """Return seconds on a monotonic clock that keeps counting while the host is suspended.
+    """Return seconds on the boot-time clock.
 
-    `time.monotonic` stops during suspension: a resumed host would treat its lease, its
-    configuration and callers' keys as younger than they are.
+    It is monotonic and keeps counting while the host is suspended. `time.monotonic` stops during
+    suspension: a resumed host would treat its lease, its configuration and callers' keys as younger
+    than they are.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
--- a/libs/serving/ruddersaddle_serving/cold_starts.py
+++ b/libs/serving/ruddersaddle_serving/cold_starts.py
@@ -21,7 +21,7 @@
 
 
 class _Reported(msgspec.Struct, frozen=True):
-    """The newest write that was read; `until` is on the monotonic clock."""
+    """The newest write that was read; `until` is on the boot-time clock."""
 
     sequence: int
     until: float
@@ -54,7 +54,7 @@
             self.apply(each.instance, each.heartbeat)
 
     def until(self, instance: UpstreamInstance) -> float:
-        """Return until when an instance is cold, on the monotonic clock.
+        """Return until when an instance is cold, on the boot-time clock.
 
         The result is minus infinity if it was never reported as cold.
         """
--- a/libs/serving/ruddersaddle_serving/engine_loads.py
+++ b/libs/serving/ruddersaddle_serving/engine_loads.py
@@ -34,7 +34,7 @@
     """A request sent to the engine.
 
     `prefill_s` is its nominal prefill time; `sent_at` and `first_at`, the time of its first event,
-    are on the monotonic clock.
+    are on the boot-time clock.
     """
 
     priority: int
--- a/libs/serving/ruddersaddle_serving/evacuations.py
+++ b/libs/serving/ruddersaddle_serving/evacuations.py
@@ -22,7 +22,7 @@
 
 
 class Evacuations:
-    """The evacuated halls. Times are on the monotonic clock."""
+    """The evacuated halls. Times are on the boot-time clock."""
 
     def __init__(self) -> None:
         self._since_by_hall: dict[HallId, float] = {}
--- a/libs/serving/ruddersaddle_serving/fence_leases.py
+++ b/libs/serving/ruddersaddle_serving/fence_leases.py
@@ -4,7 +4,7 @@
 if no other record was appended in between. The position of the record is the holder's fence, so
 fences rise with each term, also after the store is restored from an earlier copy and assigns
 offsets again. A holder gives orders only for `ORDER_WINDOW_S` after it sent the append that
-acquired or renewed the lease, by its own steady clock; another host waits for the lease's length
+acquired or renewed the lease, by its own boot-time clock; another host waits for the lease's length
 and a margin after it read the record. The last order of one holder and the first of the next are
 therefore further apart than the lease's length, without comparing clocks of different hosts.
 
--- a/libs/serving/ruddersaddle_serving/hosts.py
+++ b/libs/serving/ruddersaddle_serving/hosts.py
@@ -47,7 +47,7 @@
         self.own = own
         self.by_id: dict[HostId, HostRecord] = {}
         self.known_at = float("inf")
-        """Time at which this host first read or received a list, by the steady clock."""
+        """Time at which this host first read or received a list, by the boot-time clock."""
         self.position = TOPIC_START
         """Position after the newest record of the list; TOPIC_START if it is not known."""
         self._seeds = [seed for seed in seeds if seed and seed != own.address]
--- a/libs/serving/ruddersaddle_serving/liveness.py
+++ b/libs/serving/ruddersaddle_serving/liveness.py
@@ -5,7 +5,7 @@
 each pair of host and engine (3,000 pairs with 195 hosts and 16 unreachable engines), and again each
 time that the host tries the engine again. Hosts therefore share what they receive from each
 upstream, and two of them probe an unresponsive one. Nothing here reads a clock: times are passed
-in, in seconds of the monotonic clock.
+in, in seconds of the boot-time clock.
 """
 
 import msgspec
--- a/libs/serving/ruddersaddle_serving/probes.py
+++ b/libs/serving/ruddersaddle_serving/probes.py
@@ -31,7 +31,7 @@
 
 
 class ProbeState(msgspec.Struct):
-    """The probe schedule of one upstream; times are of the monotonic clock."""
+    """The probe schedule of one upstream; times are of the boot-time clock."""
 
     interval_s: float = PROBE_INTERVAL_S
     next_at: float = 0.0
--- a/libs/serving/ruddersaddle_serving/publications.py
+++ b/libs/serving/ruddersaddle_serving/publications.py
@@ -23,7 +23,7 @@
 class Naming(msgspec.Struct, frozen=True):
     """A naming: an operator's record that makes a version of weights the newest of its model.
 
-    Times are of the steady clock. The version was not named yet at `not_before`, the last time
+    Times are of the boot-time clock. The version was not named yet at `not_before`, the last time
     before `received_at` at which this host's view was confirmed.
     """
 
@@ -47,7 +47,7 @@
     """The newest configuration and the newest named weights.
 
     Within one process neither ever goes back to an older version. `confirmed_at` is the time, by
-    the steady clock, of the last request whose response showed that nothing newer was published.
+    the boot-time clock, of the last request whose response showed that nothing newer was published.
     """
 
     def __init__(self) -> None:
--- a/libs/serving/ruddersaddle_serving/self_reports.py
+++ b/libs/serving/ruddersaddle_serving/self_reports.py
@@ -68,7 +68,7 @@
 
 
 class RateLimit:
-    """The rate limit of one instance of an upstream; times are on the monotonic clock."""
+    """The rate limit of one instance of an upstream; times are on the boot-time clock."""
 
     def __init__(self) -> None:
         self._latest: LimitUpdate | None = None
--- a/libs/serving/ruddersaddle_serving/store_eras.py
+++ b/libs/serving/ruddersaddle_serving/store_eras.py
@@ -21,7 +21,7 @@
     def __init__(self) -> None:
         self.newest = ERA_UNKNOWN
         self.seen_at = float("-inf")
-        """When the newest era became known, by the steady clock; the restore was before that."""
+        """When the newest era became known, by the boot-time clock; the restore was before that."""
         self.restores = 0
         """Number of restores of the store that this host has seen."""
         self.restore_listeners: list[Callable[[], None]] = []
--- a/libs/serving/ruddersaddle_serving/tests/fixed_clocks.py
+++ b/libs/serving/ruddersaddle_serving/tests/fixed_clocks.py
@@ -1,4 +1,4 @@
-"""A monotonic clock that advances only when a test moves it."""
+"""A boot-time clock that advances only when a test moves it."""
 
 import unittest
 from unittest import mock
--- a/libs/serving/ruddersaddle_serving/trackers.py
+++ b/libs/serving/ruddersaddle_serving/trackers.py
@@ -106,7 +106,7 @@
 
 
 class RecentSends:
-    """Times at which this host sent its latest requests to an upstream, on the monotonic clock."""
+    """Times at which this host sent its latest requests to an upstream, on the boot-time clock."""
 
     def __init__(self) -> None:
         self._sent_at: deque[float] = deque(maxlen=SENDS_MAX)
@@ -136,7 +136,7 @@
         self.memory = EngineMemory(memory_tokens)
         self.version_by_model = dict(entry.version_by_model)
         self.avoided_until = 0.0
-        """Until when it is avoided, as the lease holder has it load weights; monotonic clock."""
+        """Until when it is avoided, as the lease holder has it load weights; boot-time clock."""
         self.liveness = Liveness()
         self.sends = RecentSends()
         self.reported = reported or ReportedState()
--- a/libs/serving/ruddersaddle_serving/upstream_lists.py
+++ b/libs/serving/ruddersaddle_serving/upstream_lists.py
@@ -33,7 +33,7 @@
 
 
 class UpstreamList:
-    """The entries by id. All times are of the steady clock, in seconds."""
+    """The entries by id. All times are of the boot-time clock, in seconds."""
 
     def __init__(self) -> None:
         self.by_id: dict[UpstreamId, UpstreamEntry] = {}
--- a/libs/serving/ruddersaddle_serving/upstream_quotas.py
+++ b/libs/serving/ruddersaddle_serving/upstream_quotas.py
@@ -70,7 +70,7 @@
         """Digest of the host list that the cached ranks were computed from."""
 
     def cold_until(self, tracker: Tracker) -> float:
-        """Return until when an upstream is cold, on the monotonic clock.
+        """Return until when an upstream is cold, on the boot-time clock.
 
         Its own report takes up to two seconds to arrive. So it is also assumed to be cold after it
         was unresponsive, as it may have restarted, and after an evacuation of its hall has ended.
