--- a/libs/serving/ruddersaddle_serving/__init__.py
+++ b/libs/serving/ruddersaddle_serving/__init__.py
@@ -1,1 +1,1 @@
-"""The serving core of an entry host: routes, placement, kept context, forwarding, orders."""
+"""Serving core of an entry host: routes, placement, cached context, forwarding, engine orders."""
--- a/libs/serving/ruddersaddle_serving/stop_signals.py
+++ b/libs/serving/ruddersaddle_serving/stop_signals.py
@@ -1,4 +1,4 @@
-"""Signals that asked for a planned stop, and how late they were noticed."""
+"""Signals that request a planned stop, and how late the host noticed the first."""
 
 import signal
 from typing import Any
@@ -7,9 +7,9 @@
 
 
 class StopSignals:
-    """What a signal's handler may leave behind: handlers run in the event loop and only set this.
+    """State that the signal handler sets; it runs in the event loop and does nothing else.
 
-    The lines about it are written by the task that carries the stop out.
+    The log lines are written by the task that carries out the stop.
     """
 
     def __init__(self) -> None:
@@ -18,14 +18,14 @@
         self.first_at = 0.0
 
     def record(self, number: int) -> None:
-        """Note a signal."""
+        """Record a signal."""
         if self.first is None:
             self.first = number
             self.first_at = clocks.now_s()
         self.count += 1
 
     def fields(self) -> dict[str, Any]:
-        """Return a log line's fields about the first signal."""
+        """Return the log fields of the first signal: its name, and how late it was noticed."""
         if self.first is None:
             return {}
         late_s = clocks.now_s() - self.first_at
